--- a/serving/httpserver/body.go
+++ b/serving/httpserver/body.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// defaultBodyLimit bounds a body if the configuration doesn't, in bytes.
+	// defaultBodyLimit is the largest size of a request body if the configuration sets no limit, in bytes.
 	defaultBodyLimit = 8 << 20
-	// uncountedBodySize is the size up to which bodies are not counted against the memory for bodies, in bytes.
+	// uncountedBodySize is the size up to which a body reserves no body memory, in bytes.
 	uncountedBodySize = 64 << 10
-	// assumedBodySize is what a body of unknown length counts as, in bytes.
+	// assumedBodySize is the body memory that a body of unknown length reserves, in bytes.
 	assumedBodySize = 128 << 10
 )
 
-// errClientDisconnected: the client has closed its connection, so no response can be sent.
+// errClientDisconnected means that the client has closed its connection, so that no response can be sent.
 var errClientDisconnected = errors.New("client has disconnected")
 
-// readBody reads the complete body of at most limit bytes and counts it in memory. The caller releases it, unless there
-// is an error. The error is an errcode error or errClientDisconnected.
+// readBody reads the complete body, of at most limit bytes, and reserves body memory for it. The caller must release
+// the reservation, except after an error. An error is an errcode error or errClientDisconnected.
 func readBody(r *http.Request, limit int, memory *bodyMemory) ([]byte, error) {
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
@@ -46,7 +46,7 @@
 	return body, nil
 }
 
-// readBodyWithin reads the complete body of at most limit bytes. The error is an errcode error or
+// readBodyWithin reads the complete body, of at most limit bytes. An error is an errcode error or
 // errClientDisconnected.
 func readBodyWithin(r *http.Request, limit int) ([]byte, error) {
 	body, err := readBodyBytes(r, limit)
@@ -61,7 +61,7 @@
 	return body, nil
 }
 
-// readBodyBytes reads the body, up to one byte more than the limit.
+// readBodyBytes reads the body, but no more than limit+1 bytes: the additional byte shows that the body is too large.
 func readBodyBytes(r *http.Request, limit int) ([]byte, error) {
 	if r.ContentLength <= 0 || r.ContentLength > uncountedBodySize {
 		return io.ReadAll(io.LimitReader(r.Body, int64(limit)+1))
@@ -69,7 +69,8 @@
 	body := make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, body)
 	if err == nil {
-		// The server watches the connection for its end only once the body's end has been read.
+		// Read up to io.EOF: only then does net/http watch the connection and cancel the request's context when the
+		// client disconnects.
 		_, err = io.CopyN(io.Discard, r.Body, 1)
 	}
 	if errors.Is(err, io.EOF) {
@@ -78,13 +79,13 @@
 	return body, err
 }
 
-// bodyMemory counts the bytes of large bodies in memory, so that many at once don't exhaust the process.
+// bodyMemory limits the memory that large bodies use at once, so that many of them don't exhaust the process's memory.
 type bodyMemory struct {
 	limit    int64
 	reserved atomic.Int64
 }
 
-// reserve counts a body. It returns false if the limit would be exceeded.
+// reserve reserves memory for a body of the length. It returns false if that would exceed the limit.
 func (m *bodyMemory) reserve(length int64) bool {
 	size := reservationSize(length)
 	if size == 0 {
@@ -97,10 +98,10 @@
 	return true
 }
 
-// release returns the reservation of a body.
+// release gives back the reservation of a body of the length.
 func (m *bodyMemory) release(length int64) { m.reserved.Add(-reservationSize(length)) }
 
-// reservationSize returns what a body of the length counts as; a negative length is unknown.
+// reservationSize returns how much memory is reserved for a body of the length; a negative length is unknown.
 func reservationSize(length int64) int64 {
 	switch {
 	case length < 0:
--- a/serving/httpserver/buffered.go
+++ b/serving/httpserver/buffered.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxBufferedResponse is the size up to which a response is read completely before any of it is sent, in bytes: if
-	// it breaks off before, the request can be retried.
+	// maxBufferedResponse is the size up to which a response is read completely before any of it is sent to the client,
+	// in bytes. If the endpoint's response breaks off before that, the request can be retried.
 	maxBufferedResponse = 64 << 10
-	// minReadBuffer is the free space with which the buffer of a response begins, in bytes.
+	// minReadBuffer is how many bytes larger than the response's known length the read buffer is initially.
 	minReadBuffer = 512
 )
 
@@ -29,26 +29,28 @@
 	body   []byte
 }
 
-// write sends the response to the client, unless its status would promise that the request has not run: it may have.
+// write sends the response to the client. It replaces a response whose status implies that the request has not run,
+// because the request may have run.
 func (r *bufferedResponse) write(w http.ResponseWriter) {
 	if upstream.ImpliesNotRun(r.status) {
 		respondError(w, errcode.EndpointResponseBroken, 0)
 		return
 	}
-	copyHead(w.Header(), r.header)
+	copyEndToEndHeaders(w.Header(), r.header)
 	if len(r.body) > 0 {
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
 	w.WriteHeader(r.status)
-	_, _ = w.Write(r.body) // it fails only if the client has disconnected
+	_, _ = w.Write(r.body) // fails only if the client has disconnected
 }
 
-// relayBuffered relays a response that is not a stream: a short one when it is complete, a long one as it arrives.
+// relayBuffered relays a response that is not a stream. A response shorter than maxBufferedResponse is sent once it is
+// complete, a longer one as it arrives.
 func (f *forwarder) relayBuffered(
 	response *upstream.Response, reservation placement.Reservation,
 ) (attempt.Outcome, nextStep) {
 	f.server.options.Picker.ReportProgress(time.Now(), reservation)
-	body, err := readUpTo(response, maxBufferedResponse)
+	body, err := readAtLeast(response, maxBufferedResponse)
 	if err == nil {
 		return f.relayUnbuffered(response, body)
 	}
@@ -65,16 +67,16 @@
 	return attempt.Succeeded, nextDone
 }
 
-// relayUnbuffered relays a response as it arrives, beginning with the part that has been read. If it breaks off, the
-// request can't be retried.
-func (f *forwarder) relayUnbuffered(response *upstream.Response, begin []byte) (attempt.Outcome, nextStep) {
+// relayUnbuffered relays a response as it arrives, beginning with the part of the body that has been read already. If
+// the response breaks off, the request can't be retried.
+func (f *forwarder) relayUnbuffered(response *upstream.Response, alreadyRead []byte) (attempt.Outcome, nextStep) {
 	response.SetProgressTimeout(0)
 	if upstream.ImpliesNotRun(response.Status) {
 		return attempt.Failed, nextRetry
 	}
-	copyHead(f.writer.Header(), response.Header)
+	copyEndToEndHeaders(f.writer.Header(), response.Header)
 	f.writer.WriteHeader(response.Status)
-	_, err := f.writer.Write(begin)
+	_, err := f.writer.Write(alreadyRead)
 	if err == nil {
 		_, err = io.Copy(f.writer, response)
 	}
@@ -84,9 +86,9 @@
 	return outcomeOf(err), nextAbort
 }
 
-// readUpTo reads at least limit bytes, or all if there are fewer: then the error is io.EOF.
-func readUpTo(response *upstream.Response, limit int) ([]byte, error) {
-	size := min(max(int(response.Length), 0), limit)
+// readAtLeast reads at least minimum bytes of the body. If the body is shorter, it returns all of it and io.EOF.
+func readAtLeast(response *upstream.Response, minimum int) ([]byte, error) {
+	size := min(max(int(response.Length), 0), minimum)
 	body := make([]byte, 0, size+minReadBuffer)
 	for {
 		if len(body) == cap(body) {
@@ -94,13 +96,13 @@
 		}
 		n, err := response.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		if err != nil || len(body) >= limit {
+		if err != nil || len(body) >= minimum {
 			return body, err
 		}
 	}
 }
 
-// outcomeOf returns the outcome of an attempt whose response could not be read, or not be sent to the client.
+// outcomeOf returns the outcome of an attempt whose response could not be read or could not be sent to the client.
 func outcomeOf(err error) attempt.Outcome {
 	var failure *upstream.Failure
 	if errors.As(err, &failure) {
--- a/serving/httpserver/call.go
+++ b/serving/httpserver/call.go
@@ -46,8 +46,8 @@
 	return call
 }
 
-// priority returns the priority that is sent to endpoints: the route's precedence, within their range, or the highest
-// one for prompts that take little time to prefill.
+// priority returns the priority that is sent to endpoints: the route's precedence, limited to the range that endpoints
+// accept, or the highest priority for prompts that take little time to prefill.
 func priority(route *routing.Route, shortPrefill bool) string {
 	if shortPrefill {
 		return strconv.Itoa(highestPriority)
--- a/serving/httpserver/connection.go
+++ b/serving/httpserver/connection.go
@@ -11,8 +11,8 @@
 	"rowanlink/internal/socket"
 )
 
-// connection is a client's connection. It applies the read timeouts of the current configuration, which change while
-// the server runs.
+// connection is a client's connection. It applies the read timeouts of the current configuration; those of http.Server
+// can't be changed while the server runs.
 type connection struct {
 	net.Conn
 	listener  *listener
@@ -23,7 +23,8 @@
 // stateServing is the state of a connection whose request's handler is running: reads have no timeout then.
 const stateServing = http.ConnState(100)
 
-// SetReadDeadline sets a deadline. If the server sets none, the timeout of the connection's state applies.
+// SetReadDeadline sets the deadline of reads. If net/http clears the deadline, the timeout for the connection's state
+// applies instead.
 func (c *connection) SetReadDeadline(deadline time.Time) error {
 	if deadline.IsZero() {
 		deadline = c.listener.readDeadline(http.ConnState(c.state.Load()))
@@ -31,7 +32,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Read reads from the client. A new or idle connection becomes active by it.
+// Read reads from the client. The first bytes make a new or idle connection active; net/http reports that state only
+// after it has read the request's headers.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 && !c.state.CompareAndSwap(int32(http.StateIdle), int32(http.StateActive)) {
@@ -49,13 +51,14 @@
 	return err
 }
 
-// startServing replaces the read timeout by a deadline for the request's body; zero: none.
+// startServing records that a request's handler is running, and replaces the read timeout by a deadline for reading the
+// body; zero: none.
 func (c *connection) startServing(bodyDeadline time.Time) {
 	c.state.Store(int32(stateServing))
-	_ = c.Conn.SetReadDeadline(bodyDeadline) // a closed connection shows at the next read
+	_ = c.Conn.SetReadDeadline(bodyDeadline) // fails only on a closed connection, which the next read reports
 }
 
-// isIdle reports whether the connection carries no request and none has arrived.
+// isIdle reports whether no request on the connection is being read or handled and no unread data has arrived.
 func (c *connection) isIdle() bool {
 	state := http.ConnState(c.state.Load())
 	if state != http.StateNew && state != http.StateIdle {
@@ -65,14 +68,15 @@
 	return !ok || !socket.HasUnread(tcp)
 }
 
-// resetOnClose makes Close send a reset, so that nothing that was sent can look complete.
+// resetOnClose makes Close reset the connection, so that the client doesn't take a truncated response for a complete
+// one.
 func (c *connection) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails only if the connection is closed already
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 }
 
-// recordConnState is the server's callback for changes of a connection's state.
+// recordConnState records a connection's new state. It is the server's http.Server.ConnState callback.
 func recordConnState(raw net.Conn, state http.ConnState) {
 	if c, ok := raw.(*connection); ok {
 		c.state.Store(int32(state))
@@ -81,7 +85,7 @@
 
 type connectionKey struct{}
 
-// withConnection adds a connection to the context of its requests.
+// withConnection adds a connection to the context of its requests. It is the server's http.Server.ConnContext callback.
 func withConnection(ctx context.Context, raw net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, raw)
 }
--- a/serving/httpserver/event_reader.go
+++ b/serving/httpserver/event_reader.go
@@ -20,9 +20,9 @@
 type eventReader struct {
 	source      io.Reader
 	buffer      []byte
-	bufferStart int   // begin of what has not been returned
-	bufferEnd   int   // end of what has been read
-	readErr     error // the source's error
+	bufferStart int   // start of the data that Next has not returned yet
+	bufferEnd   int   // end of the data that has been read from the source
+	readErr     error // the error that ended reading from the source
 }
 
 func newEventReader(source io.Reader) *eventReader {
@@ -30,8 +30,8 @@
 }
 
 // Next waits for at least one complete event and returns all complete events that have arrived. They are valid until
-// the next call. After the last one, it returns what is left and io.EOF if the source ended cleanly; if not, it drops
-// what is left and returns the source's error.
+// the next call. After the last complete event, Next returns the remaining data with io.EOF if the source ended
+// cleanly. Otherwise it drops the remaining data and returns the source's error or errEventTooLong.
 func (r *eventReader) Next() ([]byte, error) {
 	searched := r.bufferStart
 	for {
@@ -55,7 +55,7 @@
 	}
 }
 
-// takeRemainder returns what follows the last event of a stream that ended cleanly.
+// takeRemainder returns the data after the last complete event of a stream that ended cleanly, or the source's error.
 func (r *eventReader) takeRemainder() ([]byte, error) {
 	if !errors.Is(r.readErr, io.EOF) {
 		return nil, r.readErr
@@ -65,7 +65,8 @@
 	return remainder, io.EOF
 }
 
-// makeSpace frees or allocates space for reading. It returns by how much the contents have moved.
+// makeSpace frees or allocates buffer space for reading. It returns by how many bytes the contents have moved toward
+// the start of the buffer.
 func (r *eventReader) makeSpace() (moved int) {
 	if r.bufferEnd < len(r.buffer) && r.bufferStart < r.bufferEnd {
 		return 0
@@ -84,8 +85,8 @@
 	return 0
 }
 
-// lastEventEnd returns the end of the last complete event, which is after its blank line; 0 if there is none. No event
-// ends before from.
+// lastEventEnd returns the offset after the blank line that ends the last complete event; 0 if there is none. It
+// searches data from the offset from only, since the caller knows that no event ends before it.
 func lastEventEnd(data []byte, from int) int {
 	from = max(from, 0)
 	for end := len(data); end > from; {
@@ -102,7 +103,8 @@
 	return 0
 }
 
-// endsBlankLine reports whether the line that a newline ends is blank and so ends an event.
+// endsBlankLine reports whether the newline at an offset ends a blank line, and therefore an event. A blank line at the
+// start of the data doesn't count.
 func endsBlankLine(data []byte, newline int) bool {
 	if newline > 0 && data[newline-1] == '\r' {
 		newline--
@@ -119,7 +121,7 @@
 	}
 }
 
-// firstEventEnd returns the end of the first event, or of the data if none is complete.
+// firstEventEnd returns the offset after the first event; the length of the data if no event is complete.
 func firstEventEnd(data []byte) int {
 	for offset, c := range data {
 		if c == '\n' && endsBlankLine(data, offset) {
@@ -129,7 +131,7 @@
 	return len(data)
 }
 
-// eventID returns the value of an event's id field, and false if it has none.
+// eventID returns the value of an event's last id field, and false if it has none.
 func eventID(event []byte) (string, bool) {
 	found, id := false, ""
 	for line := range bytes.Lines(event) {
--- a/serving/httpserver/finish.go
+++ b/serving/httpserver/finish.go
@@ -10,11 +10,12 @@
 	"rowanlink/serving/errcode"
 )
 
-// rejectedTargetDivisor of the route's latency target is the least Retry-After of a request that endpoints rejected:
-// long enough for slots to become free, short enough for a response within the target.
+// rejectedTargetDivisor divides the route's latency target; the result is the shortest Retry-After of a request that
+// endpoints rejected. It is long enough for slots to become free, and short enough for a response within the target.
 const rejectedTargetDivisor = 8
 
-// respondUnserved responds to a request that is not retried: with a rejection if nothing has run, else with a failure.
+// respondUnserved responds to a request that gets no further attempt: with a rejection if no endpoint can have run it,
+// otherwise with a failure.
 func (f *forwarder) respondUnserved(ctx context.Context) {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed(ctx)
@@ -23,7 +24,9 @@
 	f.reject(ctx, errcode.NotExecuted, 0)
 }
 
-// reject responds that nothing has run, with the time to retry. If something may have run, it responds with a failure.
+// reject responds that no endpoint has run the request. The Retry-After is the wanted one or, if that is zero, a random
+// one that follows from the route's latency target. If an endpoint may have run the request, reject responds with a
+// failure instead.
 func (f *forwarder) reject(ctx context.Context, kind errcode.Kind, wanted time.Duration) {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed(ctx)
@@ -36,7 +39,7 @@
 	respondError(f.writer, kind, clampRetryAfter(wanted, time.Until(f.deadline)))
 }
 
-// respondExpired responds to a request whose deadline has passed.
+// respondExpired responds to a request whose deadline has passed before an endpoint was picked.
 func (f *forwarder) respondExpired(ctx context.Context) {
 	if f.mayHaveRun || f.stream.started {
 		f.respondFailed(ctx)
@@ -45,7 +48,8 @@
 	respondError(f.writer, errcode.NotExecutedInTime, 0)
 }
 
-// respondFailed responds to a request that may have run: with an endpoint's own error if there is one.
+// respondFailed responds to a request that may have run. An error response from an endpoint takes precedence over the
+// proxy's own errors. If part of a stream has been sent, the connection is aborted.
 func (f *forwarder) respondFailed(ctx context.Context) {
 	switch {
 	case f.stream.started:
@@ -59,10 +63,12 @@
 	}
 }
 
-// abortConnection terminates the client's connection, so that what was sent does not look complete. It doesn't return.
+// abortConnection terminates the client's connection, so that the client doesn't take a partial response for a complete
+// one. It panics with http.ErrAbortHandler and doesn't return.
 func (f *forwarder) abortConnection(ctx context.Context) {
 	f.server.metrics.aborted.Inc()
-	if !f.httpRequest.ProtoAtLeast(1, 1) { // there the end of the connection is the end of the body
+	// In HTTP/1.0, closing the connection ends the body, so only a reset shows that the response is incomplete.
+	if !f.httpRequest.ProtoAtLeast(1, 1) {
 		if client := connectionFromContext(ctx); client != nil {
 			client.resetOnClose()
 		}
--- a/serving/httpserver/forward.go
+++ b/serving/httpserver/forward.go
@@ -12,39 +12,40 @@
 	"rowanlink/serving/retry"
 )
 
-// minPickDelay is the least time between two searches for an endpoint.
+// minPickDelay is the shortest wait before the picker is asked again for an endpoint.
 const minPickDelay = time.Millisecond
 
-// forwarder makes the attempts for one request until the client has its response. It is used by the handler's goroutine
-// only, except for mayAbandonAttempt.
+// forwarder makes attempts at endpoints for one request until the client has its response. Only the handler's goroutine
+// uses it, except that mayAbandonAttempt runs on another one while the handler's goroutine waits.
 type forwarder struct {
 	*request
 	server *Server
 	writer http.ResponseWriter
 
-	attempts        int      // that have ended
-	sentAttempts    int      // of these, those that reached an endpoint or may have
-	countedAttempts int      // of these, those that count toward the route's tries
-	triedEndpoints  []string // by ID
-	mayHaveRun      bool     // some attempt may have run
+	attempts        int      // number of attempts that have ended
+	sentAttempts    int      // number of ended attempts whose request reached an endpoint or may have
+	countedAttempts int      // number of sent attempts that count toward the route's maximum
+	triedEndpoints  []string // their IDs, in the order of the attempts
+	mayHaveRun      bool     // an endpoint may have run the request
 	lastOutcome     attempt.Outcome
 	service         string          // of the last attempt's endpoint
-	grantedRetry    *retry.Decision // granted by mayAbandonAttempt, before the attempt's end
+	grantedRetry    *retry.Decision // set by mayAbandonAttempt when it abandons the attempt; nil: not abandoned
 
-	endpointError *bufferedResponse // an endpoint's own error, sent to the client if no attempt succeeds
+	endpointError *bufferedResponse // an endpoint's error response, relayed if no attempt succeeds
 	stream        streamProgress
 }
 
-// nextStep is what follows an attempt.
+// nextStep determines how the forwarder continues after an attempt.
 type nextStep uint8
 
 const (
 	nextDone  nextStep = iota // the client has its response
-	nextRetry                 // the attempt has ended without a response for the client
-	nextAbort                 // the response has begun and can't be completed
+	nextRetry                 // the attempt has failed and may be retried
+	nextAbort                 // part of the response has been sent and the rest can't be
 )
 
-// forward makes attempts until the client has its response.
+// forward makes attempts until the client has its response. If the response can't be completed, it aborts the client's
+// connection.
 func (f *forwarder) forward(ctx context.Context) {
 	for {
 		choice, picked := f.pickEndpoint(ctx)
@@ -68,8 +69,8 @@
 	}
 }
 
-// pickEndpoint selects an endpoint, waiting for as long as the picker decides. It returns false if the request has been
-// responded to instead.
+// pickEndpoint picks an endpoint, waiting for as long as the picker decides. It returns false if it has sent an error
+// response to the client instead.
 func (f *forwarder) pickEndpoint(ctx context.Context) (placement.Choice, bool) {
 	for {
 		now := time.Now()
@@ -122,7 +123,7 @@
 	return f.relayBuffered(response, choice.Reservation)
 }
 
-// recordAttempt records an attempt that has ended without a response for the client.
+// recordAttempt records the outcome of an attempt after which the client has no complete response.
 func (f *forwarder) recordAttempt(outcome attempt.Outcome) {
 	f.attempts++
 	f.lastOutcome = outcome
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// writeGrace is how long after a request's deadline its last bytes may still be written to a slow client.
+	// writeGrace is how long after a request's deadline the rest of its response may still be written to a slow client.
 	writeGrace = time.Second
-	// noConfigurationRetryAfter is sent while no configuration is known.
-	noConfigurationRetryAfter = 250 * time.Millisecond
-	// drainingRetryAfter is sent by a process that shuts down: another one can serve the client at once.
+	// unavailableRetryAfter is sent if no configuration is known or too many large bodies are in memory.
+	unavailableRetryAfter = 250 * time.Millisecond
+	// drainingRetryAfter is sent by a process that is shutting down. It is short, since another proxy can serve the
+	// client at once.
 	drainingRetryAfter = 20 * time.Millisecond
 )
 
-// ServeHTTP serves one request of a client: it finds the route, reads the request, and forwards it to an endpoint.
+// ServeHTTP serves one request of a client: it finds the route, reads the request, and forwards the request to an
+// endpoint.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	s.inFlight.Add(1)
@@ -29,7 +31,7 @@
 
 	table := s.options.RoutingTable()
 	if table == nil {
-		s.rejectUnrouted(w, r, arrivedAt, errcode.NoConfiguration, noConfigurationRetryAfter)
+		s.rejectUnrouted(w, r, arrivedAt, errcode.NoConfiguration, unavailableRetryAfter)
 		return
 	}
 	if s.rejecting.Load() {
@@ -42,24 +44,25 @@
 		return
 	}
 
-	read := request{
+	req := request{
 		httpRequest: r,
 		table:       table,
 		route:       route,
 		arrivedAt:   arrivedAt,
 		deadline:    deadline(arrivedAt, r.Header, route.Timeout),
 	}
-	if err := s.readRequest(r.Context(), &read, table.Limits); err != nil {
-		s.respondReadError(w, err, time.Until(read.deadline))
+	if err := s.readRequest(r.Context(), &req, table.Limits); err != nil {
+		s.respondReadError(w, err, time.Until(req.deadline))
 		return
 	}
 	defer s.bodyMemory.release(r.ContentLength)
-	read.placement = placementRequest(route, r.Header)
-	f := &forwarder{server: s, request: &read, writer: w}
+	req.placement = placementRequest(route, r.Header)
+	f := &forwarder{server: s, request: &req, writer: w}
 	f.forward(r.Context())
 }
 
-// responseWriter counts each response, and adds to its header how the client's connection continues.
+// responseWriter counts each response, and sets the headers that tell the client whether and how long its connection
+// stays open.
 type responseWriter struct {
 	http.ResponseWriter
 	server    *Server
@@ -69,7 +72,8 @@
 // Unwrap returns the underlying writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader writes the status line and the headers.
+// WriteHeader writes the status line and the headers. While the server drains, or has almost as many connections as it
+// may have, the connection is closed after the response.
 func (w *responseWriter) WriteHeader(status int) {
 	w.server.metrics.countResponse(status, w.arrivedAt)
 	header := w.Header()
@@ -81,15 +85,15 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// readRequest reads the complete request, within the operator's limits.
-func (s *Server) readRequest(ctx context.Context, to *request, limits routing.Limits) error {
-	r := to.httpRequest
+// readRequest reads the body into req, within the configured limits, and sets the deadlines of the client's connection.
+func (s *Server) readRequest(ctx context.Context, req *request, limits routing.Limits) error {
+	r := req.httpRequest
 	if limits.MaxHeaderBytes > 0 && headSize(r) > limits.MaxHeaderBytes {
 		return errcode.HeaderTooLarge.With("over %d bytes", limits.MaxHeaderBytes)
 	}
 	client := connectionFromContext(ctx)
 	if client != nil {
-		client.startServing(bodyDeadline(r, to.deadline))
+		client.startServing(bodyDeadline(r, req.deadline))
 	}
 	body, err := readBody(r, limits.MaxBodyBytes, &s.bodyMemory)
 	if err != nil {
@@ -97,15 +101,16 @@
 	}
 	if client != nil {
 		client.startServing(time.Time{})
-		_ = client.SetWriteDeadline(to.deadline.Add(writeGrace)) // a closed connection shows at the next write
+		// An error means that the connection is closed, which the next write reports.
+		_ = client.SetWriteDeadline(req.deadline.Add(writeGrace))
 	}
-	to.body = body
-	to.hasBody = r.ContentLength != 0 || r.Method == http.MethodPost || r.Method == http.MethodPut
+	req.body = body
+	req.hasBody = r.ContentLength != 0 || r.Method == http.MethodPost || r.Method == http.MethodPut
 	dropConnectionHeaders(r.Header)
 	return nil
 }
 
-// bodyDeadline returns the time by which the body must have arrived; zero if there is none.
+// bodyDeadline returns the time by which the body must have arrived; zero if the request has no body.
 func bodyDeadline(r *http.Request, deadline time.Time) time.Time {
 	if r.ContentLength == 0 {
 		return time.Time{}
@@ -122,12 +127,12 @@
 	w.Header().Set("Connection", "close")
 	retryAfter := time.Duration(0)
 	if kind.Status == http.StatusServiceUnavailable {
-		retryAfter = clampRetryAfter(noConfigurationRetryAfter, timeLeft)
+		retryAfter = clampRetryAfter(unavailableRetryAfter, timeLeft)
 	}
 	respondError(w, kind, retryAfter)
 }
 
-// rejectUnrouted responds to a request for which no attempt is made. Its body is read nevertheless, so that the
+// rejectUnrouted responds with an error to a request that is not routed. It reads the body nevertheless, so that the
 // response reaches the client.
 func (s *Server) rejectUnrouted(
 	w http.ResponseWriter, r *http.Request, arrivedAt time.Time, kind errcode.Kind, wanted time.Duration,
@@ -135,7 +140,8 @@
 	end := deadline(arrivedAt, r.Header, defaultTimeout)
 	if client := connectionFromContext(r.Context()); client != nil {
 		client.startServing(bodyDeadline(r, end))
-		_ = client.SetWriteDeadline(end.Add(writeGrace)) // a closed connection shows at the next write
+		// An error means that the connection is closed, which the next write reports.
+		_ = client.SetWriteDeadline(end.Add(writeGrace))
 	}
 	if _, err := readBody(r, defaultBodyLimit, &s.bodyMemory); err != nil {
 		s.respondReadError(w, err, time.Until(end))
--- a/serving/httpserver/headers.go
+++ b/serving/httpserver/headers.go
@@ -15,14 +15,14 @@
 	headerRetryAfter = "Retry-After"
 )
 
-// connectionHeaders apply to one connection only and are not forwarded.
+// connectionHeaders lists the headers that apply to one connection only and are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// dropConnectionHeaders removes the headers that apply to one connection only, including those that the Connection
-// header lists.
+// dropConnectionHeaders removes the headers that apply to one connection only. These include the headers that the
+// Connection header lists, except for those whose names begin with "X-".
 func dropConnectionHeaders(header http.Header) {
 	for _, line := range header["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -36,9 +36,9 @@
 	}
 }
 
-// copyHead copies an endpoint's end-to-end headers to the client's response, and keeps the HTTP server from adding its
-// own.
-func copyHead(to, from http.Header) {
+// copyEndToEndHeaders copies an endpoint's end-to-end headers to the client's response. A nil value keeps net/http from
+// adding a Content-Type or Date header that the endpoint didn't send.
+func copyEndToEndHeaders(to, from http.Header) {
 	dropConnectionHeaders(from)
 	for name, values := range from {
 		to[name] = values
--- a/serving/httpserver/listener.go
+++ b/serving/httpserver/listener.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// nearLimitPercent of the maximum number of connections is where idle ones are to be closed.
+// nearLimitPercent is the percentage of the maximum number of connections from which on connections are closed after
+// their responses, instead of becoming idle.
 const nearLimitPercent = 80
 
 // listener accepts clients' connections up to a maximum number.
 type listener struct {
 	net.Listener
-	readTimeouts   func() (headerWait, idle time.Duration)
+	readTimeouts   func() (header, idle time.Duration)
 	maxConnections int
 	onLimit        func() // called for each connection beyond the maximum
 
@@ -22,7 +23,7 @@
 }
 
 func newListener(
-	raw net.Listener, maxConnections int, readTimeouts func() (headerWait, idle time.Duration), onLimit func(),
+	raw net.Listener, maxConnections int, readTimeouts func() (header, idle time.Duration), onLimit func(),
 ) *listener {
 	return &listener{
 		Listener:       raw,
@@ -33,8 +34,8 @@
 	}
 }
 
-// Accept waits for a connection. Connections beyond the maximum are closed unread, from which clients may conclude that
-// nothing has run.
+// Accept waits for a connection. A connection beyond the maximum is closed before anything is read from it, so its
+// client may conclude that no request on it has run.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -45,11 +46,12 @@
 		if l.admit(c) {
 			return c, nil
 		}
-		_ = raw.Close() // nothing was written
+		_ = raw.Close() // an error loses no data: nothing was written
 		l.onLimit()
 	}
 }
 
+// admit registers a connection. It returns false if the maximum number of connections is open.
 func (l *listener) admit(c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,6 +62,7 @@
 	return true
 }
 
+// remove unregisters a connection that has been closed.
 func (l *listener) remove(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +76,7 @@
 	return len(l.open)*100 >= l.maxConnections*nearLimitPercent
 }
 
-// allIdle reports whether no connection carries a request or has an unread one.
+// allIdle reports whether all open connections are idle (see connection.isIdle).
 func (l *listener) allIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,10 +88,10 @@
 	return true
 }
 
-// readDeadline returns the deadline of a read that begins now on a connection in the state; zero: none.
+// readDeadline returns the deadline of a read that begins now on a connection in the given state; zero: none.
 func (l *listener) readDeadline(state http.ConnState) time.Time {
-	headerWait, idle := l.readTimeouts()
-	timeout := headerWait
+	header, idle := l.readTimeouts()
+	timeout := header
 	switch state {
 	case http.StateIdle:
 		timeout = idle
--- a/serving/httpserver/metrics.go
+++ b/serving/httpserver/metrics.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/attempt"
 )
 
-// statusClasses is the number of classes of HTTP statuses, 1xx to 5xx, and one for what is none.
+// statusClasses is the number of classes of HTTP statuses: 1xx to 5xx, and class 0 for invalid statuses.
 const statusClasses = 6
 
 // serverMetrics counts a proxy's requests and attempts. Its methods may be called concurrently.
@@ -23,7 +23,7 @@
 	latency   *vm.Histogram
 }
 
-// newServerMetrics returns counters at zero. inFlight is read when somebody asks.
+// newServerMetrics returns metrics with all counters at zero. inFlight is called whenever the metrics are read.
 func newServerMetrics(inFlight func() int) *serverMetrics {
 	set := vm.NewSet()
 	m := &serverMetrics{
@@ -43,8 +43,8 @@
 	return m
 }
 
-// countResponse counts a response whose header is about to be sent, and the time since the request arrived if it is a
-// success.
+// countResponse counts a response whose headers are about to be sent. For a 2xx response it also records the time since
+// the request arrived.
 func (m *serverMetrics) countResponse(status int, arrivedAt time.Time) {
 	class := status / 100
 	if class >= statusClasses {
@@ -56,5 +56,5 @@
 	}
 }
 
-// write writes the figures as text.
+// write writes the metrics in the Prometheus text format.
 func (m *serverMetrics) write(w io.Writer) { m.set.WritePrometheus(w) }
--- a/serving/httpserver/prompt.go
+++ b/serving/httpserver/prompt.go
@@ -13,11 +13,11 @@
 	// maxTokenCount bounds each number of tokens that a client states, so that sums of them don't overflow. It is far
 	// above the capacity of any endpoint's KV cache.
 	maxTokenCount = 1 << 40
-	// maxPromptBlocks bounds the prompt blocks of a request that are read.
+	// maxPromptBlocks is the largest number of prompt blocks of a request; further ones are ignored.
 	maxPromptBlocks = 256
 )
 
-// placementRequest returns what the picker needs to know of a request, from its headers.
+// placementRequest returns the request to the picker that follows from a client request's route and headers.
 func placementRequest(route *routing.Route, header http.Header) placement.Request {
 	prompt, output := parseTokenCounts(header.Get(headerTokens))
 	return placement.Request{
@@ -29,12 +29,13 @@
 	}
 }
 
-// parseTokenCounts parses "PROMPT,OUTPUT". An invalid number is zero.
+// parseTokenCounts parses "PROMPT,OUTPUT". An invalid number is taken as zero.
 func parseTokenCounts(text string) (prompt, output int) {
 	first, second, _ := strings.Cut(text, ",")
 	return parseCount(first), parseCount(second)
 }
 
+// parseCount parses a number of tokens, limited to maxTokenCount. An invalid or negative number is taken as zero.
 func parseCount(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
@@ -43,7 +44,7 @@
 	return min(n, maxTokenCount)
 }
 
-// parsePromptBlocks parses "ID:TOKENS,ID:TOKENS,...", up to the first block that is invalid.
+// parsePromptBlocks parses "ID:TOKENS,ID:TOKENS,...". It ignores the first invalid block and everything after it.
 func parsePromptBlocks(text string) []placement.PrefixBlock {
 	if text == "" {
 		return nil
--- a/serving/httpserver/request.go
+++ b/serving/httpserver/request.go
@@ -14,7 +14,7 @@
 // defaultTimeout is the timeout of a request if neither its route nor its client sets one.
 const defaultTimeout = 30 * time.Second
 
-// request is one request of a client, read completely.
+// request is one request of a client, with the route and the deadline that follow from it.
 type request struct {
 	httpRequest *http.Request
 	table       *routing.Table
@@ -22,11 +22,12 @@
 	arrivedAt   time.Time
 	deadline    time.Time // the earlier one of the client's and the route's
 	body        []byte
-	hasBody     bool // the client sent a body, even if it is empty
+	hasBody     bool // the client sent a body, which may be empty
 	placement   placement.Request
 }
 
-// requestTarget returns the path and query as the client sent them, also if it sent an absolute URL.
+// requestTarget returns the path and query exactly as the client sent them. Of an absolute URL, scheme and host are
+// removed.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") || r.URL.Host == "" {
 		return r.RequestURI
@@ -49,8 +50,8 @@
 	return path
 }
 
-// deadline returns the deadline of a request: its timeout or the time left that the client states, whichever is
-// shorter.
+// deadline returns the deadline of a request: it follows from the timeout or from the time left that the client states
+// in its header, whichever is shorter.
 func deadline(arrivedAt time.Time, header http.Header, timeout time.Duration) time.Time {
 	if timeout <= 0 {
 		timeout = defaultTimeout
--- a/serving/httpserver/retry.go
+++ b/serving/httpserver/retry.go
@@ -9,8 +9,7 @@
 	"rowanlink/serving/retry"
 )
 
-// waitForRetry waits until the next attempt is due. It returns false if there is none and the request has been
-// responded to.
+// waitForRetry waits until the next attempt is due. If there is none, it responds to the client and returns false.
 func (f *forwarder) waitForRetry(ctx context.Context, outcome attempt.Outcome) bool {
 	if f.mayHaveRun && !f.route.Idempotent() {
 		f.respondFailed(ctx)
@@ -31,9 +30,10 @@
 	return true
 }
 
-// decideNextAttempt applies the retry policy to the attempt that has ended. A stream that the client has part of waits
-// for retry budget, as long as the request has time: to end it would lose what was sent, and its first attempt may have
-// been abandoned only because another one had been granted.
+// decideNextAttempt applies the retry policy to the attempt that has ended. If the client has received part of a stream
+// and the retry budget is exhausted, it asks again until there is budget or the request runs out of time. Ending the
+// stream would waste the part that was sent; besides, its first attempt may have been abandoned only because the policy
+// had granted another one.
 func (f *forwarder) decideNextAttempt(ctx context.Context, outcome attempt.Outcome) retry.Decision {
 	for {
 		decision := f.decideRetry(retry.FailedAttempt{
@@ -52,8 +52,8 @@
 	}
 }
 
-// mayAbandonAttempt decides whether an attempt without progress is to be ended: only if the request may then be
-// retried. It runs on another goroutine while the forwarder's own waits for the endpoint.
+// mayAbandonAttempt decides whether to abandon an attempt that makes no progress: only if the retry policy grants
+// another attempt. It runs on another goroutine while the handler's goroutine waits for the endpoint.
 func (f *forwarder) mayAbandonAttempt() bool {
 	decision := f.decideRetry(retry.FailedAttempt{
 		Number:          f.attempts,
--- a/serving/httpserver/server.go
+++ b/serving/httpserver/server.go
@@ -1,8 +1,8 @@
-// Package httpserver is the client side of a proxy: a reverse proxy's HTTP server. Server.ServeHTTP takes a request,
-// picks an endpoint (package placement), sends the request to it (package upstream) and relays the response; after a
-// failed attempt the retry policy (package retry) decides whether there is another one. Responses are buffered up to a
-// size, so that a broken one can be retried; streams of server-sent events are relayed event by event and can be
-// resumed at another endpoint.
+// Package httpserver is the HTTP server of a proxy, to which clients connect. Server.ServeHTTP reads a request, picks
+// an endpoint (package placement), sends the request to it (package upstream) and relays the response. After a failed
+// attempt, the retry policy (package retry) decides whether there is another one. A response up to a certain size is
+// buffered, so that the request can be retried if the response breaks off. Streams of server-sent events are relayed
+// event by event and can be resumed at another endpoint.
 package httpserver
 
 import (
@@ -28,25 +28,27 @@
 	"rowanlink/serving/upstream"
 )
 
-// EndpointPicker selects the endpoints of requests. It is implemented by *placement.Picker.
+// EndpointPicker picks endpoints for requests and receives the results of the attempts. It is implemented by
+// *placement.Picker.
 type EndpointPicker interface {
 	Pick(now time.Time, request placement.Request) (placement.Choice, placement.Decision)
 	ReportProgress(now time.Time, reservation placement.Reservation)
 	ReportOutcome(now time.Time, reservation placement.Reservation, outcome attempt.Outcome)
 }
 
-// RetryPolicy decides on retries. It is implemented by *retry.Policy.
+// RetryPolicy decides whether failed attempts are retried. It is implemented by *retry.Policy.
 type RetryPolicy interface {
 	CountRequest(now time.Time, service string)
 	Decide(now time.Time, failed retry.FailedAttempt) retry.Decision
 }
 
-// Options are the parameters of a server. All but ReadinessListener and the numbers are required.
+// Options are the parameters of a server. All fields are required, except for ReadinessListener, MaxConnections and
+// MaxBodyMemory.
 type Options struct {
 	ClientListener    net.Listener // for clients' requests
 	ReadinessListener net.Listener // for the platform's readiness checks and for metrics; nil: none
 	RoutingTable      func() *routing.Table
-	Ready             func() bool // whether the process knows enough to serve
+	Ready             func() bool // whether the process has all the state that it needs to serve
 	// ConnectionShare returns how many connections this process may have to one endpoint of a service.
 	ConnectionShare func(*routing.Service) int
 	Picker          EndpointPicker
@@ -54,24 +56,24 @@
 	Pool            *upstream.Pool
 	Log             *zerolog.Logger
 
-	MaxConnections int   // of clients; zero: defaultConnections
-	MaxBodyMemory  int64 // bytes of large bodies in memory at once; zero: defaultBodyMemory
+	MaxConnections int   // of clients; zero: defaultMaxConnections
+	MaxBodyMemory  int64 // bytes of large bodies in memory at once; zero: defaultMaxBodyMemory
 }
 
-// Defaults of a server.
+// Defaults and limits of a server.
 const (
-	defaultConnections = 2000
-	defaultBodyMemory  = 64 << 20
-	defaultHeaderWait  = 10 * time.Second
-	defaultIdle        = time.Minute
-	// maxHeadSize bounds the headers of a request whatever limit the configuration has, in bytes.
+	defaultMaxConnections = 2000
+	defaultMaxBodyMemory  = 64 << 20
+	defaultHeaderTimeout  = 10 * time.Second
+	defaultIdleTimeout    = time.Minute
+	// maxHeadSize bounds the headers of a request, in bytes, even if the configured limit is larger.
 	maxHeadSize = 1 << 20
-	// idleMargin is how much longer an idle connection stays open than announced to its client, for requests in
-	// transit.
+	// idleMargin is how much longer an idle connection stays open than the client has been told, so that a request
+	// which the client sends at the last moment still arrives in time.
 	idleMargin = 2 * time.Second
 )
 
-// Server serves clients' requests. Make one with New.
+// Server serves clients' requests. Use New to create one.
 type Server struct {
 	options         Options
 	listener        *listener
@@ -84,16 +86,16 @@
 	draining  atomic.Bool  // graceful shutdown has begun
 	rejecting atomic.Bool  // new requests are rejected
 
-	sleep func(context.Context, time.Duration) bool // ctxsleep.Sleep, except in tests of Drain
+	sleep func(context.Context, time.Duration) bool // ctxsleep.Sleep; replaced in tests of Drain
 }
 
-// New returns a server that doesn't listen yet.
+// New returns a server that accepts no connections until Start is called.
 func New(options Options) *Server {
 	if options.MaxConnections <= 0 {
-		options.MaxConnections = defaultConnections
+		options.MaxConnections = defaultMaxConnections
 	}
 	if options.MaxBodyMemory <= 0 {
-		options.MaxBodyMemory = defaultBodyMemory
+		options.MaxBodyMemory = defaultMaxBodyMemory
 	}
 	s := &Server{options: options, bodyMemory: bodyMemory{limit: options.MaxBodyMemory}, sleep: ctxsleep.Sleep}
 	s.metrics = newServerMetrics(s.InFlight)
@@ -109,11 +111,11 @@
 	readiness := http.NewServeMux()
 	readiness.HandleFunc("/", s.serveReadiness)
 	readiness.Handle(metrics.Path, metrics.Handler(s.metrics.write))
-	s.readinessServer = &http.Server{Handler: readiness, ReadHeaderTimeout: defaultHeaderWait}
+	s.readinessServer = &http.Server{Handler: readiness, ReadHeaderTimeout: defaultHeaderTimeout}
 	return s
 }
 
-// Start serves requests and readiness checks until Close or until the listeners fail.
+// Start serves requests and readiness checks in the background, until Close is called or the listeners fail.
 func (s *Server) Start() {
 	go s.run(s.clientServer, s.listener)
 	if s.options.ReadinessListener != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// run serves a listener. It logs an error that isn't caused by a shutdown.
+// run serves a listener until it is closed or fails. It logs an error that isn't caused by a shutdown.
 func (s *Server) run(server *http.Server, listener net.Listener) {
 	err := server.Serve(listener)
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -131,7 +133,7 @@
 
 // Close closes all connections at once.
 func (s *Server) Close() {
-	_ = s.clientServer.Close() // there is nothing to do about an error
+	_ = s.clientServer.Close() // errors are ignored: the connections are of no further use
 	_ = s.readinessServer.Close()
 }
 
@@ -154,20 +156,20 @@
 }
 
 // readTimeouts returns the timeouts for reading a request's headers and for idle connections.
-func (s *Server) readTimeouts() (headerWait, idle time.Duration) {
-	headerWait, idle = defaultHeaderWait, defaultIdle
+func (s *Server) readTimeouts() (header, idle time.Duration) {
+	header, idle = defaultHeaderTimeout, defaultIdleTimeout
 	if table := s.options.RoutingTable(); table != nil {
 		if table.Limits.HeaderTimeout > 0 {
-			headerWait = table.Limits.HeaderTimeout
+			header = table.Limits.HeaderTimeout
 		}
 		if table.Limits.IdleTimeout > 0 {
 			idle = table.Limits.IdleTimeout + idleMargin
 		}
 	}
-	return headerWait, idle
+	return header, idle
 }
 
-// keepAlive returns the value of the Keep-Alive header for clients; empty: none.
+// keepAlive returns the value of the Keep-Alive header that is sent to clients; empty: no such header.
 func (s *Server) keepAlive() string {
 	table := s.options.RoutingTable()
 	if table == nil || table.Limits.IdleTimeout < time.Second {
@@ -178,7 +180,7 @@
 
 func (s *Server) logConnectionLimit() { event.ConnectionLimitReached.Log(s.options.Log).Send() }
 
-// errorLogWriter turns the log lines of net/http into events.
+// errorLogWriter turns the log lines of net/http into log events.
 type errorLogWriter struct{ log *zerolog.Logger }
 
 func (l errorLogWriter) Write(line []byte) (int, error) {
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -15,11 +15,11 @@
 	"rowanlink/serving/upstream"
 )
 
-// streamProgress is how much of a stream of server-sent events the client has received, over all attempts.
+// streamProgress records how much of a stream of server-sent events has been sent to the client, over all attempts.
 type streamProgress struct {
-	started      bool   // the headers and at least one event have been sent
-	lastEventID  string // of the last event sent that has one
-	filterBuffer []byte // reused by filterRelayed
+	started      bool   // the headers have been sent
+	lastEventID  string // of the last event sent that has an ID
+	filterBuffer []byte // reused by dropRelayed
 }
 
 // isEventStream reports whether a response is a stream of events. On a route for streams, a response of unknown length
@@ -35,8 +35,8 @@
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// relayStream relays complete events as they arrive. A response that resumes a stream keeps the headers of the first
-// one.
+// relayStream relays complete events as they arrive. Of a response that resumes a stream, only events are relayed: the
+// client has received headers already.
 func (f *forwarder) relayStream(
 	response *upstream.Response, reservation placement.Reservation,
 ) (attempt.Outcome, nextStep) {
@@ -63,16 +63,16 @@
 	}
 }
 
-// relayEvents sends complete events, and the headers before the first of them. It returns false if the client has
-// disconnected.
+// relayEvents sends complete events to the client, and the headers before the first of them. It returns false if the
+// client has disconnected.
 func (f *forwarder) relayEvents(response *upstream.Response, events []byte) bool {
 	if !f.stream.started {
 		f.stream.started = true
-		copyHead(f.writer.Header(), response.Header)
-		f.writer.Header().Del("Content-Length") // another attempt may end the stream with other bytes
+		copyEndToEndHeaders(f.writer.Header(), response.Header)
+		f.writer.Header().Del("Content-Length") // another attempt may complete the stream with another length
 		f.writer.WriteHeader(response.Status)
 	}
-	events = f.stream.filterRelayed(events, f.attempts > 0)
+	events = f.stream.dropRelayed(events, f.attempts > 0)
 	if len(events) == 0 {
 		return true
 	}
@@ -82,8 +82,8 @@
 	return http.NewResponseController(f.writer).Flush() == nil
 }
 
-// handleBrokenStream decides what follows if a stream breaks off: it can be resumed if the route allows it and the last
-// event had an ID.
+// handleBrokenStream decides how to continue after a stream has broken off. Once the client has the headers, the stream
+// can be resumed only if the route allows that and an event with an ID has been sent.
 func (f *forwarder) handleBrokenStream(err error) (attempt.Outcome, nextStep) {
 	outcome := attempt.Broken
 	var failure *upstream.Failure
@@ -97,9 +97,9 @@
 	return outcome, nextRetry
 }
 
-// filterRelayed records the last ID among events and returns those to send: if a stream is resumed, those that the
-// client has not received.
-func (s *streamProgress) filterRelayed(events []byte, resumed bool) []byte {
+// dropRelayed returns the events that are to be sent, and records the last ID among them. An endpoint that resumes a
+// stream may repeat events; those that have been sent already are left out.
+func (s *streamProgress) dropRelayed(events []byte, resumed bool) []byte {
 	if !resumed || s.lastEventID == "" {
 		if id, found := findLastEventID(events); found {
 			s.lastEventID = id
@@ -132,8 +132,8 @@
 	return "", false
 }
 
-// isLaterID reports whether an ID comes after another one. IDs that are whole numbers are ordered; others are only equal
-// or different.
+// isLaterID reports whether an event ID comes after the last one. IDs that are whole numbers are compared by value.
+// Other IDs have no order, so each ID that differs counts as later.
 func isLaterID(id, last string) bool {
 	number, err := strconv.ParseUint(id, 10, 64)
 	lastNumber, lastErr := strconv.ParseUint(last, 10, 64)
--- a/serving/httpserver/timeouts.go
+++ b/serving/httpserver/timeouts.go
@@ -6,22 +6,22 @@
 	"rowanlink/serving/routing"
 )
 
-// Parameters of the time after which an idempotent request's attempt without a first byte is abandoned and retried at
-// another endpoint.
+// Parameters of the first-byte timeout: an idempotent request's attempt that has no first byte by then is abandoned and
+// retried at another endpoint. The timeout is the largest of the lower bounds that these parameters define.
 const (
-	// expectedFactor times the estimated time to first byte is the least timeout.
+	// expectedFactor is multiplied by the expected time to first byte.
 	expectedFactor = 3
-	// targetDivisor of the latency target is the least timeout of services whose runs are short and cheap: the next
-	// endpoint may still respond within the target.
+	// targetDivisor divides the latency target, for services whose runs are short and cheap: the next endpoint may
+	// still respond within the target.
 	targetDivisor = 2
-	// llmTargetFactor times the latency target is the least timeout of language models: prefill for nothing delays all
-	// other requests, and after the target the response is late wherever it comes from.
+	// llmTargetFactor is multiplied by the latency target, for language models: the prefill of an abandoned attempt is
+	// wasted and delays all other requests, and after the target the response is late whichever endpoint sends it.
 	llmTargetFactor = 2
-	// minFirstByteTimeout applies if there is no latency target.
+	// minFirstByteTimeout is the shortest timeout, for instance without a latency target.
 	minFirstByteTimeout = 100 * time.Millisecond
 )
 
-// firstByteTimeout returns how long an attempt at an endpoint of the service may be without a first byte.
+// firstByteTimeout returns how long an attempt at an endpoint of the service may take until its first byte.
 func firstByteTimeout(route *routing.Route, service *routing.Service, expected time.Duration) time.Duration {
 	least := route.LatencyTarget / targetDivisor
 	if service != nil && service.Engine != nil {
@@ -31,9 +31,9 @@
 }
 
 const (
-	// gapFactor times the route's target for gaps between events is the timeout of a stream that can be resumed.
+	// gapFactor is multiplied by the route's target for gaps between events, to get the timeout of a resumable stream.
 	gapFactor = 2
-	// defaultStreamIdleTimeout applies if the route has no such target.
+	// defaultStreamIdleTimeout is the timeout of a resumable stream if the route has no target for gaps.
 	defaultStreamIdleTimeout = time.Second
 )
 
