--- a/serving/upstream/call.go
+++ b/serving/upstream/call.go
@@ -7,46 +7,47 @@
 	"time"
 )
 
-// Call is one request to one endpoint.
+// Call describes one attempt: a request to one endpoint, and how it is to be sent.
 type Call struct {
 	EndpointID string
 	Address    string // host:port
-	Zone       string // of the endpoint, for the round trip measured to it
+	Zone       string // of the endpoint; the round trip to it is measured
 
 	Method        string
 	RequestTarget string // path and query as the client sent them
 	Host          string
 	Header        http.Header // end-to-end headers; not modified
 	Body          []byte      // complete; not modified, and in use until the response is closed
-	// HasBody: the client sent a body, even if it is empty.
+	// HasBody reports whether the client sent a body, which may be empty. If so, a Content-Length is sent.
 	HasBody bool
 
-	// Resent: the request was sent to this endpoint before. A faulty endpoint may respond to the first attempt once
-	// more, late; on the connection of that attempt, its response could be taken for the one to this call. A resent
-	// request gets a new connection.
+	// Resent reports whether the request was sent to this endpoint before. If so, it is sent on a new connection: a
+	// faulty endpoint may respond to the first attempt a second time, late, and on the connection of the first attempt
+	// that response could be taken for the response to this call.
 	Resent bool
 
-	Deadline       time.Time // of the whole response; the time left is sent to the endpoint
+	Deadline       time.Time // for the complete response; the time left is sent to the endpoint
 	MaxConnections int       // of this process to the endpoint; zero: no limit
 	Priority       string    // sent as a header; empty: none
-	LastEventID    string    // the event after which a stream is resumed; empty: as in Header
+	LastEventID    string    // ID of the event after which a stream is resumed; empty: the one in Header, if any
 
-	// ProgressTimeout is how long the attempt may be without progress before MayAbandon decides whether to end it;
-	// zero: forever. MayAbandon is called at most once for each expiry, from another goroutine.
+	// ProgressTimeout is how long the attempt may make no progress before MayAbandon is called; zero: forever.
 	ProgressTimeout time.Duration
-	MayAbandon      func() bool
+	// MayAbandon decides whether the attempt is abandoned. It is called on another goroutine, at most once for each
+	// time that ProgressTimeout expires. If it is nil, there is no progress timeout.
+	MayAbandon func() bool
 }
 
-// reservedHeaders are written by this package itself, or not forwarded as the client sent them.
+// reservedHeaders lists the headers that this package writes itself, so that the client's values are not forwarded.
 var reservedHeaders = map[string]bool{
 	"Host": true, "Content-Length": true, headerTimeLeft: true, headerDeliverTo: true,
 }
 
-// The same with the headers that a call may replace.
+// The reserved headers of calls that set Priority, LastEventID, or both.
 var (
-	reservedWithPriority = withHeader(reservedHeaders, headerPriority)
-	reservedWithResume   = withHeader(reservedHeaders, headerLastEvent)
-	reservedWithBoth     = withHeader(reservedWithPriority, headerLastEvent)
+	reservedWithPriority    = withHeader(reservedHeaders, headerPriority)
+	reservedWithLastEventID = withHeader(reservedHeaders, headerLastEvent)
+	reservedWithBoth        = withHeader(reservedWithPriority, headerLastEvent)
 )
 
 // withHeader returns a copy of the set with one more name.
@@ -58,7 +59,7 @@
 	return larger
 }
 
-// excludedHeaders returns the client's headers that are not forwarded.
+// excludedHeaders returns the names of the client's headers that are not forwarded.
 func (c *Call) excludedHeaders() map[string]bool {
 	switch {
 	case c.Priority != "" && c.LastEventID != "":
@@ -66,12 +67,13 @@
 	case c.Priority != "":
 		return reservedWithPriority
 	case c.LastEventID != "":
-		return reservedWithResume
+		return reservedWithLastEventID
 	}
 	return reservedHeaders
 }
 
-// writeHead writes the request line and the headers.
+// writeHead writes the request line and the headers. The endpoint is told that the given time is left until the
+// deadline.
 func (c *Call) writeHead(to *bytes.Buffer, left time.Duration) {
 	to.WriteString(c.Method + " " + c.RequestTarget + " HTTP/1.1\r\n")
 	writeField(to, "Host", c.Host)
--- a/serving/upstream/classify.go
+++ b/serving/upstream/classify.go
@@ -7,16 +7,17 @@
 	"rowanlink/serving/attempt"
 )
 
-// responseKind is the class of a response. It determines how the response is handled.
+// responseKind tells how a response that has arrived is handled.
 type responseKind uint8
 
 const (
-	responseMatches responseKind = iota // it responds to this request
-	responseForeign                     // it responds to another request and is skipped
-	responseInvalid                     // it can't be attributed to a request or not be relayed
+	responseMatches responseKind = iota // the response belongs to this request
+	responseForeign                     // the response belongs to another request and is skipped
+	responseInvalid                     // it is unknown which request the response belongs to, or it can't be relayed
 )
 
-// classify classifies a response to the request with the attempt ID by its status and headers.
+// classify determines, from its status and headers, whether a response belongs to the request with the given attempt
+// ID, and the outcome that it stands for.
 func classify(status int, header http.Header, id string) (attempt.Outcome, responseKind) {
 	outcome := outcomeOf(status, header)
 	got := header.Get(headerAttempt)
@@ -34,7 +35,7 @@
 	return outcome, responseMatches
 }
 
-// outcomeOf returns the outcome that a response's status and headers mean.
+// outcomeOf returns the outcome that a response's status and headers stand for.
 func outcomeOf(status int, header http.Header) attempt.Outcome {
 	notDelivered := header.Get(headerNotDelivered) != ""
 	switch {
@@ -55,12 +56,12 @@
 	return attempt.Succeeded
 }
 
-// isIdentity reports whether a content encoding leaves the body as it is.
+// isIdentity reports whether a Content-Encoding leaves the body unencoded.
 func isIdentity(encoding string) bool {
 	return encoding == "" || strings.EqualFold(encoding, "identity")
 }
 
-// ImpliesNotRun reports whether callers conclude from a status that the request has not run and never will.
+// ImpliesNotRun reports whether clients conclude from a status that the request has not run and never will.
 func ImpliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
--- a/serving/upstream/connection.go
+++ b/serving/upstream/connection.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10 // in bytes
 	// maxHeadSize bounds the status line and headers of a response, in bytes.
 	maxHeadSize = 64 << 10
 )
 
-// errHeadTooLong ends the reading of a response's headers.
+// errHeadTooLong means that a response's status line and headers exceed maxHeadSize.
 var errHeadTooLong = errors.New("response headers too long")
 
 // connection is a connection to an endpoint.
 type connection struct {
 	net.Conn
 	reader        *bufio.Reader
-	headBytesLeft int // bytes that may still be read of the headers; negative: no limit
+	headBytesLeft int // bytes that may still be read while headers are being read; negative: no limit
 	closing       sync.Once
 
 	idleSince time.Time
 	idleUntil time.Time
 	zone      string       // of the endpoint
-	sentAt    atomic.Int64 // start of the request without a response, in nanoseconds since steadyStart; 0: there is none
+	sentAt    atomic.Int64 // when the request that awaits its response was sent, as nanoseconds since clockStart; 0: none
 }
 
-// steadyStart is the reference of monotonic times.
-var steadyStart = time.Now()
+// clockStart is the time from which sentAt counts. Differences to it are measured by the monotonic clock.
+var clockStart = time.Now()
 
-// markSent records that a request is sent.
-func (c *connection) markSent() { c.sentAt.Store(int64(time.Since(steadyStart))) }
+// markSent records that a request is being sent.
+func (c *connection) markSent() { c.sentAt.Store(int64(time.Since(clockStart))) }
 
-// markResponded records that a response has arrived.
+// markResponded records that no request awaits its response any more.
 func (c *connection) markResponded() { c.sentAt.Store(0) }
 
-// awaitingResponseFor returns how long a request has been without a response; zero if there is no such request.
+// awaitingResponseFor returns for how long a request has awaited its response; zero if none does.
 func (c *connection) awaitingResponseFor(now time.Time) time.Duration {
 	sent := c.sentAt.Load()
 	if sent == 0 {
 		return 0
 	}
-	return now.Sub(steadyStart) - time.Duration(sent)
+	return now.Sub(clockStart) - time.Duration(sent)
 }
 
 func newConnection(raw net.Conn) *connection {
 	c := &connection{Conn: raw, headBytesLeft: -1}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	return c
 }
 
@@ -70,8 +70,8 @@
 	return n, err
 }
 
-// isQuiet reports, without waiting, whether the endpoint has sent nothing unsolicited and has not closed the
-// connection.
+// isQuiet reports, without waiting, whether the endpoint has sent no unsolicited data and has not closed the
+// connection. Only such a connection can carry a request.
 func (c *connection) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/serving/upstream/dialer.go
+++ b/serving/upstream/dialer.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Keep-alive probes detect an endpoint that fails in the middle of a response.
+// Parameters of TCP keep-alive probes, which detect an endpoint that fails in the middle of a response.
 const (
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
@@ -21,12 +21,12 @@
 
 // dialer opens connections and measures the round trip to each zone.
 type dialer struct {
-	timeout time.Duration // beyond the round trips
+	timeout time.Duration // for connecting, in addition to two round trips
 	raw     net.Dialer
 
 	mu             *sync.Mutex
 	meanRoundTrips map[string]time.Duration // by zone: moving average of the time to connect
-	minRoundTrips  map[string]time.Duration // by zone: the least time to connect, as far as seen lately
+	minRoundTrips  map[string]time.Duration // by zone: shortest recent time to connect
 }
 
 func newDialer(timeout, ackTimeout time.Duration) dialer {
@@ -46,7 +46,7 @@
 	}
 }
 
-// dial connects within the time-out and twice the mean round trip to the zone.
+// dial connects to an endpoint. It takes at most the timeout plus twice the mean round trip to the endpoint's zone.
 func (d dialer) dial(ctx context.Context, address, zone string) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout+2*d.meanRoundTrip(zone))
 	defer cancel()
@@ -61,8 +61,8 @@
 	return c, nil
 }
 
-// meanRoundTrip returns the mean round trip to a zone; for a zone that was never reached, half the time-out, which
-// suffices for another continent.
+// meanRoundTrip returns the mean round trip to a zone. For a zone to which no connection has been established yet, it
+// returns half the timeout, which suffices for another continent.
 func (d dialer) meanRoundTrip(zone string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,31 +72,32 @@
 	return d.timeout / 2
 }
 
-// recordRoundTrip adds a measurement to the mean and to the minimum, which rises slowly if the path gets longer.
+// recordRoundTrip adds a measurement to the moving average and to the minimum. A longer measurement raises the minimum
+// only a little, so that it follows a path that has become longer but not a single slow connect.
 func (d dialer) recordRoundTrip(zone string, roundTrip time.Duration) {
-	const weight, upWeight = 4, 32
+	const meanDivisor, riseDivisor = 4, 32
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if minimum, known := d.minRoundTrips[zone]; known && roundTrip > minimum {
-		d.minRoundTrips[zone] = minimum + (roundTrip-minimum)/upWeight
+		d.minRoundTrips[zone] = minimum + (roundTrip-minimum)/riseDivisor
 	} else {
 		d.minRoundTrips[zone] = roundTrip
 	}
 	roundTrip = min(roundTrip, d.timeout)
 	if mean, known := d.meanRoundTrips[zone]; known {
-		roundTrip = mean + (roundTrip-mean)/weight
+		roundTrip = mean + (roundTrip-mean)/meanDivisor
 	}
 	d.meanRoundTrips[zone] = roundTrip
 }
 
-// RoundTrips returns, by zone, the least time that connecting to its endpoints has taken lately.
+// RoundTrips returns, by zone, the shortest time that connecting to the zone's endpoints has taken recently.
 func (p *Pool) RoundTrips() map[string]time.Duration {
 	p.dialer.mu.Lock()
 	defer p.dialer.mu.Unlock()
 	return maps.Clone(p.dialer.minRoundTrips)
 }
 
-// setAckTimeout bounds how long sent data may stay unacknowledged (TCP_USER_TIMEOUT).
+// setAckTimeout sets TCP_USER_TIMEOUT: the kernel closes the connection if sent data stays unacknowledged for longer.
 func setAckTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var failed error
 	err := raw.Control(func(descriptor uintptr) {
--- a/serving/upstream/do.go
+++ b/serving/upstream/do.go
@@ -12,14 +12,14 @@
 	"rowanlink/serving/attempt"
 )
 
-// asyncBodySize is the size from which a body is written by a separate goroutine, since the response may arrive
-// meanwhile.
+// asyncBodySize is the size, in bytes, from which on a body is written by a separate goroutine, since the response may
+// arrive before the body has been written.
 const asyncBodySize = 16 << 10
 
 var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// Do sends the request once. It returns the response's status and headers, with the body still to be read, or a
-// failure. The end of the context ends the call at once. A response must be closed.
+// Do sends the request once and waits for the response's status and headers. It returns the response, whose body the
+// caller reads and which the caller must close, or a failure. The end of the context ends the call at once.
 func (p *Pool) Do(ctx context.Context, call *Call) (*Response, *Failure) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	for {
@@ -45,7 +45,7 @@
 			stale := reused && ctx.Err() == nil
 			failure := response.fail(err, attempt.ConnectFailed)
 			if stale {
-				continue // the endpoint had closed the idle connection: no attempt was made
+				continue // the endpoint had closed the idle connection, and nothing of the request was sent
 			}
 			cancel()
 			return nil, failure
@@ -89,8 +89,8 @@
 	return &Failure{Outcome: outcome, Cause: cause}
 }
 
-// sendRequest writes the request. It returns false if not one byte of it was sent. Later errors show when the response
-// is read.
+// sendRequest writes the request. It returns false if not one byte of it was sent. An error after the first byte is
+// not handled here: it shows when the response is read.
 func (r *Response) sendRequest() (sent bool, err error) {
 	head := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(head)
@@ -112,6 +112,7 @@
 	return true, nil
 }
 
+// writeBody writes the body and then sends the result to done.
 func writeBody(c net.Conn, body []byte, done chan<- error) {
 	_, err := c.Write(body)
 	done <- err
--- a/serving/upstream/failure.go
+++ b/serving/upstream/failure.go
@@ -6,11 +6,10 @@
 	"rowanlink/serving/attempt"
 )
 
-// Failure is the reason why a request got no response that could be relayed.
+// Failure is the reason why a call has no response that can be relayed, or no complete one.
 type Failure struct {
-	Outcome attempt.Outcome
-	// Abandoned: the progress timeout ended the attempt before its deadline.
-	Abandoned bool
+	Outcome   attempt.Outcome
+	Abandoned bool  // the progress timeout ended the attempt before its deadline
 	Cause     error // nil if the outcome follows from the endpoint's response
 }
 
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to endpoints over HTTP/1.1: one request at a time on a connection, with idle
-// connections reused, and no request ever sent twice by itself. The outcomes are those of package attempt; whether a
-// request is retried is not decided here.
+// Package upstream sends requests to endpoints over HTTP/1.1. A connection carries one request at a time, and idle
+// connections are reused. The package never sends a request twice; its caller decides whether a request is retried, by
+// the outcome of the attempt (package attempt).
 package upstream
 
 import (
@@ -15,18 +15,19 @@
 	defaultMaxOpen        = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultAckTimeout     = 1500 * time.Millisecond
-	// defaultIdleTimeout is how long an idle connection stays open whose endpoint doesn't announce its own timeout.
+	// defaultIdleTimeout is how long an idle connection stays open if its endpoint announces no timeout of its own.
 	defaultIdleTimeout = 2 * time.Second
-	// idleTimeoutPercent of the idle time that an endpoint states is used; the rest is margin for a request in
-	// transit.
+	// idleTimeoutPercent is the percentage of the idle timeout announced by an endpoint after which an idle connection
+	// is not used any more. The rest is a margin, so that a request doesn't arrive after the endpoint has closed the
+	// connection.
 	idleTimeoutPercent = 80
 )
 
-// Options are the parameters of a pool. Zero values stand for defaults.
+// Options are the parameters of a pool. A field that is zero stands for its default.
 type Options struct {
 	MaxOpen        int           // connections to all endpoints together
-	ConnectTimeout time.Duration // of a new connection, added to the measured round trip
-	AckTimeout     time.Duration // after which a connection with unacknowledged data is broken
+	ConnectTimeout time.Duration // of a new connection, in addition to two measured round trips
+	AckTimeout     time.Duration // after which the kernel closes a connection with unacknowledged data
 }
 
 // Pool holds the connections to all endpoints. It is safe for concurrent use.
@@ -42,9 +43,9 @@
 
 // endpointConnections holds the connections to one endpoint.
 type endpointConnections struct {
-	idle []*connection // the last used one is the last
+	idle []*connection // in the order of their last use, the most recent one last
 	busy []*connection // in use, in no order
-	open int           // idle, in use or being made
+	open int           // number of connections that are idle, in use or being established
 }
 
 // New returns an empty pool.
@@ -65,8 +66,8 @@
 	}
 }
 
-// Sweep closes idle connections that have expired or that their endpoint has closed. It is to be called every few
-// seconds.
+// Sweep closes idle connections that have expired or that their endpoint has closed. The caller should call it every
+// few seconds.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// Close closes the idle connections, and those in use when their requests end.
+// Close closes the idle connections at once, and the connections in use when their requests end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,10 +108,10 @@
 	return p.open
 }
 
-// acquire returns an idle connection that can be used or, without one, a free slot for a new connection, which counts
-// as open from now on. If fresh is set, it returns no idle connection. It returns false if the limit of the endpoint or
-// the pool is reached.
-func (p *Pool) acquire(endpointID string, limit int, fresh bool, now time.Time) (c *connection, hasCapacity bool) {
+// acquire returns an idle connection that can be used. Without one, or if forceNew is set, it returns nil and counts a
+// connection as open, which the caller then establishes. It returns false if that would exceed the limit of the
+// endpoint or of the pool, and no idle connection can be closed instead.
+func (p *Pool) acquire(endpointID string, limit int, forceNew bool, now time.Time) (c *connection, hasCapacity bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	connections := p.byEndpoint[endpointID]
@@ -118,7 +119,7 @@
 		connections = &endpointConnections{}
 		p.byEndpoint[endpointID] = connections
 	}
-	if !fresh {
+	if !forceNew {
 		if c := p.popIdle(connections, now); c != nil {
 			connections.busy = append(connections.busy, c)
 			return c, true
@@ -135,8 +136,8 @@
 	return nil, true
 }
 
-// popIdle returns the last used idle connection to an endpoint that can be used; nil if there is none. The caller
-// holds the lock.
+// popIdle takes the most recently used idle connection that can still be used, and closes those that can't. It returns
+// nil if there is none. The caller holds the lock.
 func (p *Pool) popIdle(connections *endpointConnections, now time.Time) *connection {
 	for n := len(connections.idle); n > 0; n = len(connections.idle) {
 		c := connections.idle[n-1]
@@ -150,21 +151,23 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection to an endpoint that has been idle longest. The caller holds the lock.
+// closeOldestIdle closes the connection to an endpoint that has been idle longest. It returns false if none is idle.
+// The caller holds the lock.
 func (p *Pool) closeOldestIdle(connections *endpointConnections) bool {
 	if len(connections.idle) == 0 {
 		return false
 	}
-	first := connections.idle[0]
+	oldest := connections.idle[0]
 	connections.idle = append(connections.idle[:0], connections.idle[1:]...)
-	p.closeConnection(connections, first)
+	p.closeConnection(connections, oldest)
 	return true
 }
 
-// putIdle returns a connection whose request has ended cleanly to the pool.
-func (p *Pool) putIdle(endpointID string, c *connection, idle time.Duration) {
+// putIdle makes a connection idle whose request has ended cleanly. The connection can be used again until idleTimeout
+// has passed; if that is not positive, or the pool is closed, the connection is closed instead.
+func (p *Pool) putIdle(endpointID string, c *connection, idleTimeout time.Duration) {
 	now := time.Now()
-	c.idleSince, c.idleUntil = now, now.Add(idle)
+	c.idleSince, c.idleUntil = now, now.Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	connections := p.byEndpoint[endpointID]
@@ -172,14 +175,15 @@
 		return
 	}
 	connections.removeBusy(c)
-	if p.closed || idle <= 0 {
+	if p.closed || idleTimeout <= 0 {
 		p.closeConnection(connections, c)
 		return
 	}
 	connections.idle = append(connections.idle, c)
 }
 
-// discard closes a connection in use and frees its slot. A nil connection stands for one that was not established.
+// discard closes a connection in use, which then no longer counts as open. A nil connection stands for one that was
+// counted by acquire but not established.
 func (p *Pool) discard(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +193,7 @@
 	}
 }
 
-// addBusy records a connection that has been established and is in use.
+// addBusy adds a new connection to those in use.
 func (p *Pool) addBusy(endpointID string, c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,7 +211,8 @@
 	}
 }
 
-// closeConnection closes a connection that is on no list any more. The caller holds the lock.
+// closeConnection closes a connection that the caller has removed from the lists, and counts it as open no more. The
+// connection may be nil (see discard). The caller holds the lock.
 func (p *Pool) closeConnection(connections *endpointConnections, c *connection) {
 	if c != nil {
 		c.closeOnce()
@@ -216,7 +221,8 @@
 	p.open--
 }
 
-// closeOldestIdleOfAll closes the connection that has been idle longest. The caller holds the lock.
+// closeOldestIdleOfAll closes the connection that has been idle longest among those to all endpoints. It returns false
+// if none is idle. The caller holds the lock.
 func (p *Pool) closeOldestIdleOfAll() bool {
 	var oldest *endpointConnections
 	for _, connections := range p.byEndpoint {
@@ -230,5 +236,5 @@
 	return oldest != nil && p.closeOldestIdle(oldest)
 }
 
-// closeQuietly closes a connection that is no longer needed, so an error has no meaning.
+// closeQuietly closes a connection and ignores errors, since the connection is no longer needed.
 func closeQuietly(c net.Conn) { _ = c.Close() }
--- a/serving/upstream/response.go
+++ b/serving/upstream/response.go
@@ -13,7 +13,7 @@
 	"rowanlink/serving/attempt"
 )
 
-// Response is an endpoint's response to a call. Its body is read with Read. It is for use by one goroutine.
+// Response is an endpoint's response to a call. Its body is read with Read. It must be used by one goroutine only.
 type Response struct {
 	Outcome attempt.Outcome // Succeeded, or Failed if the endpoint reports an error
 	Status  int
@@ -29,15 +29,16 @@
 	stopCancelHook func() bool
 
 	httpResponse   *http.Response
-	bodyWritten    chan error    // result of the goroutine that writes the body; nil: there is none or it has ended
-	requestWritten bool          // completely
+	bodyWritten    chan error    // receives the result of writeBody; nil: no such goroutine, or its result was received
+	requestWritten bool          // the complete request has been written
 	notReusable    bool          // the connection can't carry another request
 	idleTimeout    time.Duration // of the connection after this response
-	bodyRead       bool          // to its end
+	bodyRead       bool          // the body has been read to its end
 	closed         bool
 }
 
-// Read reads from the body. It returns io.EOF only after the complete body, and a *Failure if that can't be had.
+// Read reads from the body. It returns io.EOF only after the complete body, and a *Failure if the body can't be read
+// completely.
 func (r *Response) Read(p []byte) (int, error) {
 	if r.bodyRead {
 		return 0, io.EOF
@@ -55,10 +56,11 @@
 	return n, failure
 }
 
-// SetProgressTimeout restarts the call's progress timeout with another length; zero stops it.
+// SetProgressTimeout restarts the call's progress timeout with a new duration; zero stops it.
 func (r *Response) SetProgressTimeout(timeout time.Duration) { r.watchdog.arm(timeout) }
 
-// Close ends the call. The connection is reused if the response was read completely and nothing else has arrived.
+// Close ends the call. The connection becomes idle, for other requests, if the request was written and the response
+// read completely, and nothing more has arrived. Otherwise the connection is closed.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -76,7 +78,8 @@
 	r.pool.discard(r.call.EndpointID, r.connection)
 }
 
-// drainBuffered reads the rest of a short body that has been received, so that the connection can be reused.
+// drainBuffered reads the body's unread rest if it is in the read buffer completely, so that the connection can be
+// reused.
 func (r *Response) drainBuffered() {
 	if r.bodyRead || r.httpResponse == nil || r.Length < 0 || r.Length > int64(r.connection.reader.Buffered()) {
 		return
@@ -85,8 +88,9 @@
 	r.bodyRead = err == nil
 }
 
-// fail ends the call with a failure. The deadline, the client and the progress timeout take precedence over the given
-// outcome.
+// fail ends the call with a failure. If the client has disconnected, the outcome is Canceled. Otherwise a ConnectFailed
+// stays, and any other outcome is replaced by TimedOut if the progress timeout has ended the attempt or the deadline
+// has passed.
 func (r *Response) fail(cause error, outcome attempt.Outcome) *Failure {
 	failure := &Failure{Outcome: outcome, Cause: cause}
 	switch {
@@ -108,10 +112,11 @@
 	return failure
 }
 
-// maxIdleSeconds bounds how long an idle connection stays open, whatever timeout the endpoint announces.
+// maxIdleSeconds bounds the idle timeout that an endpoint announces, in seconds.
 const maxIdleSeconds = 3600
 
-// parseIdleTimeout returns how long a connection stays open after a response with these headers.
+// parseIdleTimeout returns how long a connection may be idle after a response with these headers. It is
+// idleTimeoutPercent of the timeout in the Keep-Alive header or, without a valid one, defaultIdleTimeout.
 func parseIdleTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/serving/upstream/watchdog.go
+++ b/serving/upstream/watchdog.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// watchdog ends an attempt that makes no progress for a time, if its caller agrees then.
+// watchdog abandons an attempt that makes no progress within a timeout, if mayAbandon then returns true.
 type watchdog struct {
-	mayAbandon func() bool
+	mayAbandon func() bool // nil: there is no timeout
 	abandon    func()
 
 	mu        sync.Mutex
@@ -16,7 +16,8 @@
 	fired     bool
 }
 
-// arm restarts the timeout; zero stops it. It returns false if the attempt has been abandoned already.
+// arm restarts the timeout with a new duration; zero stops it. It returns false if the attempt has been abandoned
+// already.
 func (w *watchdog) arm(timeout time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,7 +40,8 @@
 	return true
 }
 
-// expire abandons the attempt if the caller agrees. The timer may fire late, after the timeout has been restarted.
+// expire abandons the attempt if mayAbandon returns true. It does nothing if the timer fires after the timeout has been
+// restarted or stopped.
 func (w *watchdog) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
