--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -18,19 +18,20 @@
 const (
 	// pollWait is how long the agent may delay the response to a poll while there are no updates.
 	pollWait = 5 * time.Second
-	// pollSlack is how much longer a poll may take altogether.
+	// pollSlack is added to pollWait for the timeout of a whole poll.
 	pollSlack = time.Second
 	// minPollDelay bounds the rate of polls while updates arrive in quick succession.
 	minPollDelay = 20 * time.Millisecond
-	// applyTimeShare is the share of the time that applying updates may take; maxPollDelay bounds the delay that
-	// follows from it.
+	// applyTimeShare is the share of the time that the proxy may spend on applying updates. The delay before the next
+	// poll follows from it, up to maxPollDelay.
 	maxPollDelay   = 250 * time.Millisecond
 	applyTimeShare = 0.02
-	// The delay after a failed poll starts at minReconnectDelay and doubles with each further failure: agent and proxy
-	// are usually started together, and an agent that isn't there need not be polled often.
+	// The delay after a failed poll starts at minReconnectDelay, because agent and proxy are usually started together.
+	// It doubles with each further failure up to maxReconnectDelay, because an agent that is down need not be polled
+	// often.
 	minReconnectDelay = 20 * time.Millisecond
 	maxReconnectDelay = 200 * time.Millisecond
-	// maxPendingObservations bounds the observations that wait to be reported.
+	// maxPendingObservations is the largest number of observations that wait to be reported.
 	maxPendingObservations = 256
 )
 
@@ -46,8 +47,8 @@
 
 	incarnation  uint64
 	cursor       subscription.Cursor
-	pending      []state.Observation // not yet reported
-	disconnected bool
+	pending      []state.Observation // observations that have not been reported yet
+	disconnected bool                // the last poll failed
 
 	mu        sync.Mutex
 	state     state.MemberState
@@ -62,7 +63,7 @@
 		response, interrupted, err := a.poll(ctx)
 		switch {
 		case err == nil:
-			a.logRegained()
+			a.logConnectionRestored()
 			reconnect = minReconnectDelay
 			startedAt := time.Now()
 			cursor, memberState := a.apply(response)
@@ -71,20 +72,20 @@
 			ctxsleep.Sleep(ctx, pollDelay(time.Since(startedAt)))
 		case interrupted: // poll again at once
 		default:
-			a.logLost(ctx, err)
+			a.logConnectionLost(ctx, err)
 			ctxsleep.Sleep(ctx, reconnect)
 			reconnect = min(2*reconnect, maxReconnectDelay)
 		}
 	}
 }
 
-// pollDelay returns the delay before the next poll, by the time that applying the last response took: the cost of
-// many endpoints that change must not grow to all of the machine's capacity.
+// pollDelay returns the delay before the next poll. It follows from the time that applying the last response took, so
+// that applying updates doesn't use up the machine's CPU time while many endpoints change.
 func pollDelay(applyTime time.Duration) time.Duration {
 	return min(max(minPollDelay, time.Duration(float64(applyTime)/applyTimeShare)), maxPollDelay)
 }
 
-// poll polls the agent once.
+// poll polls the agent once. If the poll was interrupted by interruptPoll, the error means nothing.
 func (a *agentPoller) poll(ctx context.Context) (response *subscription.Response, interrupted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout(pollWait))
 	defer cancel()
@@ -102,13 +103,16 @@
 	}
 	response, err = subscription.Watch.Call(ctx, a.client, a.address, &request)
 	interrupted = a.endPoll()
-	if err == nil || interrupted { // the agent applies a request before it waits for updates
+	// After an interrupted poll, the observations count as reported: the agent applies a request before it waits for
+	// updates.
+	if err == nil || interrupted {
 		a.pending = nil
 	}
 	return response, interrupted, err
 }
 
-// gatherObservations adds new observations to the pending ones. If there are too many, the oldest are dropped.
+// gatherObservations adds new observations to the pending ones. If there are more than maxPendingObservations, the
+// oldest ones are dropped.
 func (a *agentPoller) gatherObservations() {
 	a.pending = append(a.pending, a.takeObservations()...)
 	if surplus := len(a.pending) - maxPendingObservations; surplus > 0 {
@@ -116,7 +120,7 @@
 	}
 }
 
-// reportNow has the pending observations reported at once.
+// reportNow interrupts the poll in flight, so that the next poll reports the observations at once.
 func (a *agentPoller) reportNow() { a.interruptPoll() }
 
 // beginPoll records the poll in flight and returns the state to report.
@@ -136,7 +140,7 @@
 	return interrupted
 }
 
-// advanceState advances the state that is reported to the agent. It never decreases.
+// advanceState raises the state that is reported to the agent. A lower state than the current one is ignored.
 func (a *agentPoller) advanceState(to state.MemberState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,16 +163,16 @@
 	}
 }
 
-// logRegained logs that the agent responds again.
-func (a *agentPoller) logRegained() {
+// logConnectionRestored logs the first successful poll after failed ones.
+func (a *agentPoller) logConnectionRestored() {
 	if a.disconnected {
 		a.disconnected = false
 		event.AgentConnectionRestored.Log(a.log).Send()
 	}
 }
 
-// logLost logs the first failed poll in a row.
-func (a *agentPoller) logLost(ctx context.Context, err error) {
+// logConnectionLost logs the first one of several failed polls in a row.
+func (a *agentPoller) logConnectionLost(ctx context.Context, err error) {
 	if !a.disconnected && ctx.Err() == nil {
 		a.disconnected = true
 		event.AgentConnectionLost.Log(a.log).Err(err).Send()
--- a/serving/proxy/monitor.go
+++ b/serving/proxy/monitor.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// monitorInterval is the time between two checks for endpoints that don't acknowledge what is sent.
+	// monitorInterval is the time between two checks of the endpoints.
 	monitorInterval = 250 * time.Millisecond
-	// minReportInterval is the least time between two reports of failed calls alone.
+	// minReportInterval is the shortest time between two reports of observations, unless an observation is urgent.
+	// Failed calls alone are not urgent.
 	minReportInterval = time.Second
 )
 
-// monitorEndpoints reports observations of endpoints until the context ends.
+// monitorEndpoints checks the endpoints and reports observations of them until the context ends.
 func (p *proxy) monitorEndpoints(ctx context.Context) {
 	ticks := time.NewTicker(monitorInterval)
 	defer ticks.Stop()
@@ -29,7 +30,8 @@
 	}
 }
 
-// checkEndpoints reports observations if there are any to report, and returns when they were last reported.
+// checkEndpoints passes the pool's measurements to the picker, logs circuit breakers that have opened, and reports
+// pending observations to the agent if a report is due. It returns the time of the last report.
 func (p *proxy) checkEndpoints(now, reportedAt time.Time) time.Time {
 	if ids := p.pool.UnacknowledgedEndpoints(now); len(ids) > 0 {
 		p.picker.ReportUnacknowledged(now, ids)
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy runs the data plane process: it gets the state of the cluster from the agent on the same machine,
-// serves clients' requests by it (packages httpserver, placement, retry and upstream), and continues with the last
-// known state if the agent is unreachable.
+// Package proxy runs a proxy, the process of the data plane. It gets the state of the cluster from the agent on the
+// same machine and serves clients' requests accordingly (packages httpserver, placement, retry and upstream). If the
+// agent is unreachable, it continues with the last known state.
 package proxy
 
 import (
@@ -27,17 +27,17 @@
 	"rowanlink/serving/upstream"
 )
 
-// Shares of the machine's limits.
+// Shares of the process's limits on file descriptors and memory, and intervals of background work.
 const (
-	reservedFiles = 200  // descriptors reserved for other files
+	reservedFiles = 200  // file descriptors reserved for other files
 	clientShare   = 0.6  // of the remaining descriptors, for clients' connections
 	endpointShare = 0.35 // of the remaining descriptors, for connections to endpoints
-	bodyShare     = 0.25 // of memory, for large bodies
+	bodyShare     = 0.25 // of the memory limit, for large bodies
 	megabyte      = 1 << 20
-	sweepInterval = 2 * time.Second
-	// settingsInterval is the time between two checks of the settings file without SIGHUP.
+	sweepInterval = 2 * time.Second // between two sweeps of the connection pool
+	// settingsInterval is the time between two checks of the settings file if there is no SIGHUP.
 	settingsInterval = 10 * time.Second
-	minFileLimit     = 256 // if the settings state less or nothing
+	minFileLimit     = 256 // limit on file descriptors that is assumed if the settings state a lower one or none
 )
 
 // proxy is the running process.
@@ -52,19 +52,19 @@
 
 	view       *systemView // used by the agent poller's goroutine only
 	table      atomic.Pointer[routing.Table]
-	ready      atomic.Bool  // the process has known enough to serve
-	drainGrace atomic.Int64 // a time.Duration: the platform kills the process so long after SIGTERM
-	proxyCount atomic.Int64 // the largest number of proxies that may run
+	ready      atomic.Bool  // the process has had all the state that it needs to serve; never reset
+	drainGrace atomic.Int64 // a time.Duration: from SIGTERM until the platform kills the process
+	proxyCount atomic.Int64 // largest number of proxies that may run at the same time
 }
 
 // Run serves until the context ends, then shuts down gracefully. It returns when all requests have ended, or shortly
 // before the platform would kill the process.
 //
-// If path names a settings file, the file is watched: changed limits apply from then on, without interrupting
-// anything.
+// If path is not empty, it names the settings file, which Run watches. Limits that change in the file apply from then
+// on, without an interruption of requests.
 func Run(ctx context.Context, processSettings *settings.Process, path string, log *zerolog.Logger) error {
 	if processSettings.Bind.Front == "" {
-		return errors.New("the settings name no address for clients")
+		return errors.New("bind.front_door is not set: there is no address for clients' requests")
 	}
 	runtime.GOMAXPROCS(max(int(math.Ceil(processSettings.Limits.CPUCores)), 1))
 
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// newProxy makes all parts that don't listen.
+// newProxy creates the proxy's parts, except for the server, which listen creates.
 func newProxy(processSettings *settings.Process, log *zerolog.Logger) *proxy {
 	now := time.Now()
 	bounds := processSettings.Bounds
@@ -120,23 +120,25 @@
 	return p
 }
 
-// applySettings applies the settings that may change while the process runs. All others need a restart.
+// applySettings applies the settings that may change while the process runs. Changes of all other settings need a
+// restart.
 func (p *proxy) applySettings(processSettings *settings.Process) {
 	p.retry.SetLimits(retryLimits(processSettings.Bounds))
 	p.picker.SetBounds(processSettings.Bounds)
 	p.drainGrace.Store(int64(processSettings.Bounds.Grace))
 }
 
+// retryLimits returns the limits of the retry policy that the settings contain.
 func retryLimits(bounds settings.Bounds) retry.Limits {
 	return retry.Limits{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow}
 }
 
-// fileShare returns a share of the file descriptors that the process may open.
+// fileShare returns a share of the file descriptors that remain beyond reservedFiles.
 func fileShare(processSettings *settings.Process, share float64) int {
 	return int(share * float64(max(processSettings.Limits.FileLimit, minFileLimit)-reservedFiles))
 }
 
-// listen opens the listeners for clients and for readiness checks.
+// listen opens the listeners for clients and for readiness checks, and creates the server that uses them.
 func (p *proxy) listen(ctx context.Context) error {
 	clients, err := process.Listen(ctx, p.settings.Bind.Front)
 	if err != nil {
@@ -164,17 +166,18 @@
 	return nil
 }
 
-// applyResponse applies a response of the agent. It returns the cursor for the next poll and the state to report.
+// applyResponse applies a response of the agent. It returns the cursor for the next poll and the state that is to be
+// reported to the agent.
 func (p *proxy) applyResponse(response *subscription.Response) (subscription.Cursor, state.MemberState) {
 	before := p.view.table
-	stopped := p.view.endpointsToStop(response)
+	unused := p.view.endpointsBecomingUnused(response)
 	if err := p.view.apply(response); err != nil {
 		event.ConfigurationInvalid.Log(p.log).Err(err).Send()
 	}
 	p.proxyCount.Store(int64(max(p.view.proxies.MaxRunning, p.view.proxies.Live)))
 	p.retry.SetProxies(p.view.proxies.MaxRunning)
 	p.picker.Update(time.Now(), p.view.snapshot(response.Loads, response.RolloutLeases))
-	for _, id := range stopped {
+	for _, id := range unused {
 		event.EndpointUnused.Log(p.log).Str("endpoint", id).Send()
 	}
 	if after := p.view.table; after != before {
@@ -184,18 +187,21 @@
 	if !p.ready.Load() && !p.view.canServe() {
 		return p.view.cursor, state.MemberStarting
 	}
-	if p.ready.CompareAndSwap(false, true) { // it stays ready: to lose endpoints is no reason to lose clients too
+	// Once ready, the proxy stays ready, even if it loses all endpoints: that is no reason to turn clients away too.
+	if p.ready.CompareAndSwap(false, true) {
 		event.ProxyReady.Log(p.log).Uint64("version", p.view.table.Version).Send()
 	}
 	return p.view.cursor, state.MemberReady
 }
 
-// connectionShare returns how many connections this process may have to one endpoint of a service.
+// connectionShare returns how many connections this process may have to one endpoint of a service, since all proxies
+// share the endpoint's limit.
 func (p *proxy) connectionShare(service *routing.Service) int {
 	return placement.ConnectionShare(service, int(p.proxyCount.Load()))
 }
 
-// sweepConnections closes connections that have been idle too long, until the context ends.
+// sweepConnections periodically closes connections to endpoints that have been idle for too long, until the context
+// ends.
 func (p *proxy) sweepConnections(ctx context.Context) {
 	ticks := time.NewTicker(sweepInterval)
 	defer ticks.Stop()
--- a/serving/proxy/system_view.go
+++ b/serving/proxy/system_view.go
@@ -14,7 +14,7 @@
 // systemView is the state of the cluster as the agent has reported it. It performs no I/O.
 type systemView struct {
 	record    *state.Record
-	table     *routing.Table // of the newest configuration that is valid; nil: none yet
+	table     *routing.Table // of the newest valid configuration; nil: none yet
 	endpoints map[string]state.Endpoint
 	proxies   subscription.ProxyCounts
 	cursor    subscription.Cursor
@@ -22,8 +22,9 @@
 
 func newSystemView() *systemView { return &systemView{endpoints: map[string]state.Endpoint{}} }
 
-// endpointsToStop returns the endpoints, by ID, that accept requests now and won't after a response of the agent.
-func (v *systemView) endpointsToStop(response *subscription.Response) (ids []string) {
+// endpointsBecomingUnused returns the IDs of the endpoints that accept requests now and will no longer do so once the
+// response of the agent has been applied. Endpoints that the response removes are not included.
+func (v *systemView) endpointsBecomingUnused(response *subscription.Response) (ids []string) {
 	for _, endpoint := range response.Endpoints {
 		known, exists := v.endpoints[endpoint.ID]
 		wasAccepting := exists && known.State == state.EndpointAccepting
@@ -34,7 +35,8 @@
 	return ids
 }
 
-// apply applies a response of the agent. An error means that its configuration is invalid; everything else is applied.
+// apply applies a response of the agent. An error means that the configuration in it is invalid; everything else has
+// been applied nevertheless.
 func (v *systemView) apply(response *subscription.Response) error {
 	if response.Complete {
 		clear(v.endpoints)
@@ -50,33 +52,35 @@
 	return v.applyRecord(response.Record)
 }
 
-// applyRecord applies a record unless it is older than the current one.
+// applyRecord applies a record if it is newer than the current one. If its configuration is invalid, it returns an
+// error and keeps the table of the last valid configuration.
 func (v *systemView) applyRecord(record *state.Record) error {
 	if record == nil || v.record != nil && record.Revision <= v.record.Revision {
 		return nil
 	}
-	before := state.Configuration{}
+	previous := state.Configuration{}
 	if v.record != nil {
-		before = v.record.Configuration
+		previous = v.record.Configuration
 	}
 	v.record = record
-	now := record.Configuration
-	if now.Version == 0 || now.Version == before.Version && now.Digest == before.Digest {
+	configuration := record.Configuration
+	if configuration.Version == 0 || configuration.Version == previous.Version && configuration.Digest == previous.Digest {
 		return nil
 	}
-	document, err := now.Decompress()
+	document, err := configuration.Decompress()
 	if err != nil {
 		return err
 	}
 	table, err := routing.Parse(document)
 	if err != nil {
-		return errors.Wrapf(err, "configuration %d", now.Version)
+		return errors.Wrapf(err, "configuration %d", configuration.Version)
 	}
 	v.table = table
 	return nil
 }
 
-// snapshot returns the state for the picker. The load reports and leases are those of the last response.
+// snapshot returns the state that the picker needs. Load reports and leases are not kept in the view; they are those of
+// the response that has just been applied.
 func (v *systemView) snapshot(loads []state.Load, leases []state.RolloutLease) placement.Snapshot {
 	endpoints := make([]state.Endpoint, 0, len(v.endpoints))
 	for _, endpoint := range v.endpoints {
@@ -92,7 +96,8 @@
 	}
 }
 
-// canServe reports whether the process knows enough to serve: a configuration and an endpoint that accepts requests.
+// canServe reports whether the process has what it needs to serve: a configuration and an endpoint that accepts
+// requests.
 func (v *systemView) canServe() bool {
 	if v.table == nil {
 		return false
@@ -105,5 +110,5 @@
 	return false
 }
 
-// pollTimeout returns how long a poll may take altogether.
+// pollTimeout returns how long a whole poll may take if the agent may wait for updates for the given time.
 func pollTimeout(wait time.Duration) time.Duration { return wait + pollSlack }
