--- a/serving/httpserver/body_test.go
+++ b/serving/httpserver/body_test.go
@@ -67,7 +67,8 @@
 	assert.Zero(t, memory.reserved.Load())
 }
 
-// TestServeHTTP_ReleasesBodyMemory sends a large body, in time and late, to a route and to a path without one.
+// TestServeHTTP_ReleasesBodyMemory checks that no body memory stays reserved after a large body that arrives in time or
+// late, with a matching route or without one.
 func TestServeHTTP_ReleasesBodyMemory(t *testing.T) {
 	const head = " HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a1\r\nX-Time-Left: "
 	completeBody := strings.Repeat("x", 90_000)
@@ -84,11 +85,11 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newTestProxy(t, respondWith(okResponse))
-			client := r.dial()
+			proxy := newTestProxy(t, respondWith(okResponse))
+			client := proxy.dial()
 			client.send("POST " + test.path + head + test.timeLeft + "\r\nContent-Length: 90000\r\n\r\n" + test.body)
 			require.Equal(t, test.wantStatus, client.receive().StatusCode)
-			assert.Eventually(t, func() bool { return r.server.bodyMemory.reserved.Load() == 0 },
+			assert.Eventually(t, func() bool { return proxy.server.bodyMemory.reserved.Load() == 0 },
 				testConnectTimeout, minPickDelay)
 		})
 	}
--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -19,27 +19,27 @@
 
 func TestForward_HeadersAndBodiesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		for request := conn.ReadRequest(); request != nil; request = conn.ReadRequest() {
 			got <- request
-			p.WriteText(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
+			conn.WriteText(okHead + "X-Own: 1\r\nX-Own: 2\r\nKeep-Alive: timeout=9\r\nContent-Length: 4\r\n\r\nbody")
 		}
 	})
-	request := r.request("/fetch/%2e%2e//a?x=%zz&&", "hello")
+	request := proxy.request("/fetch/%2e%2e//a?x=%zz&&", "hello")
 	request.URL.Opaque = "/fetch/%2e%2e//a"
 	request.Header.Set("X-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410")
 	request.Header.Set("X-Token-Count", "1460,80")
 	request.Header.Set("X-Model", "m")
 	request.Header.Set("Te", "trailers")
-	a := r.do(request)
-	assert.Equal(t, http.StatusOK, a.status)
-	assert.Equal(t, "body", a.body)
-	assert.Equal(t, "s1", a.header.Get("X-Postmark"))
-	assert.Equal(t, "a1", a.header.Get("X-Attempt-Id"))
-	assert.Equal(t, []string{"1", "2"}, a.header["X-Own"])
-	assert.Equal(t, "timeout=15", a.header.Get("Keep-Alive"), "that of this connection")
-	assert.NotContains(t, a.header, "Content-Type")
-	assert.NotContains(t, a.header, "Date")
+	response := proxy.do(request)
+	assert.Equal(t, http.StatusOK, response.status)
+	assert.Equal(t, "body", response.body)
+	assert.Equal(t, "s1", response.header.Get("X-Postmark"))
+	assert.Equal(t, "a1", response.header.Get("X-Attempt-Id"))
+	assert.Equal(t, []string{"1", "2"}, response.header["X-Own"])
+	assert.Equal(t, "timeout=15", response.header.Get("Keep-Alive"), "the proxy's own idle timeout, not the endpoint's")
+	assert.NotContains(t, response.header, "Content-Type")
+	assert.NotContains(t, response.header, "Date")
 
 	sent := <-got
 	assert.Equal(t, "/fetch/%2e%2e//a?x=%zz&&", sent.RequestURI)
@@ -52,33 +52,35 @@
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(body))
 
-	placed := r.picker.requests[0]
+	placed := proxy.picker.requests[0]
 	assert.Equal(t, "m", placed.Model)
 	assert.Equal(t, 1460, placed.PromptTokens)
 	assert.Equal(t, 80, placed.MaxOutputTokens)
 	assert.Equal(t, []placement.PrefixBlock{{ID: "5c1e07a2", Tokens: 800}, {ID: "91bd3f06", Tokens: 410}}, placed.Blocks)
-	assert.Equal(t, []attempt.Outcome{attempt.Succeeded}, r.picker.recordedOutcomes())
+	assert.Equal(t, []attempt.Outcome{attempt.Succeeded}, proxy.picker.recordedOutcomes())
 }
 
 func TestForward_ChunkedRequestBody(t *testing.T) {
 	got := make(chan string, 1)
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		request := p.ReadRequest()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		request := conn.ReadRequest()
 		if request == nil { // the proxy has abandoned the connection
 			return
 		}
 		body, _ := io.ReadAll(request.Body)
 		got <- string(body)
-		p.WriteText(okResponse)
+		conn.WriteText(okResponse)
 	})
-	request := r.request("/once/", "")
+	request := proxy.request("/once/", "")
 	request.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", 70000)))
 	request.ContentLength = -1
-	assert.Equal(t, "body", r.do(request).body)
+	assert.Equal(t, "body", proxy.do(request).body)
 	assert.Len(t, <-got, 70000)
 }
 
-// TestForward_AfterFailedAttempt: the first endpoint fails in a different way in each case, the second one succeeds.
+// TestForward_AfterFailedAttempt: the first endpoint fails, in each case in another way; the second one would succeed.
+// An idempotent request is retried. A request that may run only once is retried only if the first attempt can't have
+// run.
 func TestForward_AfterFailedAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -91,7 +93,7 @@
 		{name: "other incarnation", first: respondWith(misdirectedResponse), idempotent: 200, once: 200, outcome: attempt.Misdirected},
 		{name: "own error", first: respondWith(serverErrorResponse), idempotent: 200, once: 500, outcome: attempt.Failed},
 		{name: "close without a response", first: respondAndClose(""), idempotent: 200, once: 502, outcome: attempt.Broken},
-		{name: "reset", first: func(p *scriptedendpoint.Conn) { p.ReadRequest(); p.Reset() }, idempotent: 200, once: 502, outcome: attempt.Broken},
+		{name: "reset", first: func(conn *scriptedendpoint.Conn) { conn.ReadRequest(); conn.Reset() }, idempotent: 200, once: 502, outcome: attempt.Broken},
 		{name: "truncated head", first: respondAndClose(okHead[:20]), idempotent: 200, once: 502, outcome: attempt.Broken},
 		{name: "truncated body", first: respondAndClose(okResponse[:len(okResponse)-1]), idempotent: 200, once: 502, outcome: attempt.Broken},
 		{name: "garbage", first: respondAndClose("garbage\r\n\r\n"), idempotent: 200, once: 502, outcome: attempt.Broken},
@@ -101,19 +103,19 @@
 	} {
 		for path, want := range map[string]int{"/fetch/x": c.idempotent, "/once/x": c.once} {
 			t.Run(c.name+path, func(t *testing.T) {
-				r := newPatientProxy(t, c.first, respondWith(okResponse))
-				a := r.do(r.patientRequest(path, "q"))
-				assert.Equal(t, want, a.status)
-				assert.True(t, a.complete)
-				assert.Equal(t, c.outcome, r.picker.recordedOutcomes()[0])
+				proxy := newTestProxyWithLongTimeouts(t, c.first, respondWith(okResponse))
+				response := proxy.do(proxy.requestWithLongDeadline(path, "q"))
+				assert.Equal(t, want, response.status)
+				assert.True(t, response.complete)
+				assert.Equal(t, c.outcome, proxy.picker.recordedOutcomes()[0])
 				if want == 200 {
-					assert.Equal(t, "body", a.body)
-					assert.Len(t, r.picker.recordedOutcomes(), 2)
+					assert.Equal(t, "body", response.body)
+					assert.Len(t, proxy.picker.recordedOutcomes(), 2)
 				} else {
-					assert.Len(t, r.picker.recordedOutcomes(), 1)
-					assert.Empty(t, a.header.Get("Retry-After"))
-					hasStamp := a.header.Get("X-Postmark") != ""
-					assert.Equal(t, want == 500, hasStamp, "only the endpoint's own answer, with its own status, has its stamp")
+					assert.Len(t, proxy.picker.recordedOutcomes(), 1)
+					assert.Empty(t, response.header.Get("Retry-After"))
+					hasStamp := response.header.Get("X-Postmark") != ""
+					assert.Equal(t, want == 500, hasStamp, "only a relayed endpoint response carries the endpoint's stamp")
 				}
 			})
 		}
@@ -121,22 +123,22 @@
 }
 
 func TestForward_LastServerErrorIsRelayed(t *testing.T) {
-	r := newTestProxy(t, respondWith(serverErrorResponse), respondWith(serverErrorResponse))
-	a := r.do(r.request("/fetch/x", ""))
-	assert.Equal(t, 500, a.status)
-	assert.Equal(t, "err", a.body)
-	assert.Equal(t, "1", a.header.Get("X-Own"))
-	assert.Len(t, r.picker.recordedOutcomes(), 2)
+	proxy := newTestProxy(t, respondWith(serverErrorResponse), respondWith(serverErrorResponse))
+	response := proxy.do(proxy.request("/fetch/x", ""))
+	assert.Equal(t, 500, response.status)
+	assert.Equal(t, "err", response.body)
+	assert.Equal(t, "1", response.header.Get("X-Own"))
+	assert.Len(t, proxy.picker.recordedOutcomes(), 2)
 }
 
 func TestForward_RejectedByAllEndpoints(t *testing.T) {
 	for _, script := range []func(*scriptedendpoint.Conn){respondWith(rejectedResponse), respondWith(misdirectedResponse)} {
-		r := newTestProxy(t, script, script)
-		request := r.request("/once/x", "")
+		proxy := newTestProxy(t, script, script)
+		request := proxy.request("/once/x", "")
 		request.Header.Set("X-Time-Left", "150")
-		a := r.do(request)
-		assert.Equal(t, 503, a.status)
-		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+		response := proxy.do(request)
+		assert.Equal(t, 503, response.status)
+		after, err := strconv.ParseFloat(response.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		assert.Greater(t, after, 0.)
 		assert.LessOrEqual(t, after, 0.05)
@@ -144,34 +146,34 @@
 }
 
 func TestForward_NoEndpoint(t *testing.T) {
-	r := newTestProxy(t)
-	a := r.do(r.request("/once/x", ""))
-	assert.Equal(t, 503, a.status)
-	assert.Equal(t, "0.100", a.header.Get("Retry-After"))
+	proxy := newTestProxy(t)
+	response := proxy.do(proxy.request("/once/x", ""))
+	assert.Equal(t, 503, response.status)
+	assert.Equal(t, "0.100", response.header.Get("Retry-After"))
 }
 
 func TestForward_WaitsForASlot(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	r.picker.decisions = []placement.Decision{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
-	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
-	assert.Len(t, r.picker.requests, 3)
+	proxy := newTestProxy(t, respondWith(okResponse))
+	proxy.picker.decisions = []placement.Decision{{Kind: placement.Wait, Delay: time.Millisecond}, {Kind: placement.Wait}}
+	assert.Equal(t, 200, proxy.do(proxy.request("/once/x", "")).status)
+	assert.Len(t, proxy.picker.requests, 3)
 }
 
-// TestForward_Deadlines: the earlier one of the client's and the route's deadline ends a request.
+// TestForward_Deadlines: a request ends at the client's or the route's deadline, whichever is earlier.
 func TestForward_Deadlines(t *testing.T) {
-	silent := func(p *scriptedendpoint.Conn) { p.ReadToEnd() }
-	r := newTestProxy(t, silent)
-	request := r.request("/once/x", "")
+	silent := func(conn *scriptedendpoint.Conn) { conn.ReadToEnd() }
+	proxy := newTestProxy(t, silent)
+	request := proxy.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "30")
-	assert.Equal(t, 504, r.do(request).status)
-	assert.Equal(t, 504, r.do(r.request("/short/x", "")).status)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.TimedOut}, r.picker.recordedOutcomes())
+	assert.Equal(t, 504, proxy.do(request).status)
+	assert.Equal(t, 504, proxy.do(proxy.request("/short/x", "")).status)
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.TimedOut}, proxy.picker.recordedOutcomes())
 
-	request = r.request("/once/x", "")
+	request = proxy.request("/once/x", "")
 	request.Header.Set("X-Time-Left", "0")
-	a := r.do(request)
-	assert.Equal(t, 503, a.status, "no attempt was made")
-	assert.Len(t, r.picker.recordedOutcomes(), 2)
+	response := proxy.do(request)
+	assert.Equal(t, 503, response.status, "no attempt was made")
+	assert.Len(t, proxy.picker.recordedOutcomes(), 2)
 }
 
 func TestForward_LongResponseIsNotBuffered(t *testing.T) {
@@ -179,8 +181,8 @@
 	for _, framing := range []string{"length", "chunked", "none"} {
 		for _, truncated := range []bool{false, true} {
 			t.Run(framing+strconv.FormatBool(truncated), func(t *testing.T) {
-				r := newPatientProxy(t, func(p *scriptedendpoint.Conn) {
-					p.ReadRequest()
+				proxy := newTestProxyWithLongTimeouts(t, func(conn *scriptedendpoint.Conn) {
+					conn.ReadRequest()
 					text := map[string]string{
 						"length":  "Content-Length: " + strconv.Itoa(len(long)) + "\r\n\r\n" + long,
 						"chunked": "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(long)), 16) + "\r\n" + long + "\r\n0\r\n\r\n",
@@ -189,22 +191,22 @@
 					if truncated {
 						text = text[:len(text)-10]
 					}
-					p.WriteText(okHead + text)
-					if truncated && framing == "none" { // a clean close would be the end of this body
-						p.Reset()
+					conn.WriteText(okHead + text)
+					if truncated && framing == "none" { // without a length, a clean close would end the body properly
+						conn.Reset()
 					}
 				}, respondWith(okResponse))
-				a := r.do(r.patientRequest("/fetch/x", ""))
-				if a.status == 0 && truncated && framing == "none" {
-					return // the reset came before the headers were relayed
+				response := proxy.do(proxy.requestWithLongDeadline("/fetch/x", ""))
+				if response.status == 0 && truncated && framing == "none" {
+					return // the reset arrived before the headers were relayed
 				}
-				if truncated && framing == "none" && a.body == "body" {
-					return // or so early that the request was retried
+				if truncated && framing == "none" && response.body == "body" {
+					return // the reset arrived so early that the request was retried
 				}
-				assert.Equal(t, 200, a.status)
-				assert.Equal(t, !truncated, a.complete)
+				assert.Equal(t, 200, response.status)
+				assert.Equal(t, !truncated, response.complete)
 				if !truncated {
-					assert.Equal(t, long, a.body)
+					assert.Equal(t, long, response.body)
 				}
 			})
 		}
@@ -212,37 +214,37 @@
 }
 
 func TestForward_ResponsesWithoutBody(t *testing.T) {
-	r := newTestProxy(t, respondWith("HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Postmark: s1\r\n\r\n"))
-	a := r.do(r.request("/fetch/x", ""))
-	assert.Equal(t, 204, a.status)
-	assert.True(t, a.complete)
+	proxy := newTestProxy(t, respondWith("HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Postmark: s1\r\n\r\n"))
+	response := proxy.do(proxy.request("/fetch/x", ""))
+	assert.Equal(t, 204, response.status)
+	assert.True(t, response.complete)
 
-	r = newTestProxy(t, respondWith(okHead+"Content-Length: 4\r\n\r\n"))
-	request := r.request("/fetch/x", "")
+	proxy = newTestProxy(t, respondWith(okHead+"Content-Length: 4\r\n\r\n"))
+	request := proxy.request("/fetch/x", "")
 	request.Method = http.MethodHead
 	request.Body = nil
 	request.ContentLength = 0
-	a = r.do(request)
-	assert.Equal(t, 200, a.status)
-	assert.Equal(t, "4", a.header.Get("Content-Length"))
+	response = proxy.do(request)
+	assert.Equal(t, 200, response.status)
+	assert.Equal(t, "4", response.header.Get("Content-Length"))
 }
 
 func TestForward_ClientDisconnects(t *testing.T) {
 	for name, sent := range map[string]string{"/once/x": "", "/chat/x": streamHead + chunk("id: 1\ndata: x\n\n")} {
 		t.Run(name, func(t *testing.T) {
 			reached, disconnected := make(chan struct{}), make(chan struct{})
-			r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-				p.ReadRequest()
-				p.WriteText(sent)
+			proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+				conn.ReadRequest()
+				conn.WriteText(sent)
 				close(reached)
-				p.ReadToEnd()
+				conn.ReadToEnd()
 				close(disconnected)
 			})
 			done := make(chan struct{})
-			request := r.request(name, "q")
+			request := proxy.request(name, "q")
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() {
-				r.do(request.WithContext(ctx))
+				proxy.do(request.WithContext(ctx))
 				close(done)
 			}()
 			<-reached
@@ -254,18 +256,19 @@
 }
 
 func TestForward_UnresponsiveEndpointIsAbandoned(t *testing.T) {
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() }, respondWith(okResponse))
-	a := r.do(r.request("/fetch/x", ""))
-	assert.Equal(t, 200, a.status)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.picker.recordedOutcomes())
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) { conn.ReadToEnd() }, respondWith(okResponse))
+	response := proxy.do(proxy.request("/fetch/x", ""))
+	assert.Equal(t, 200, response.status)
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, proxy.picker.recordedOutcomes())
 }
 
-// TestForward_DeadlineDuringRetryBackoff: an earlier attempt may have run, so the response must not promise otherwise.
+// TestForward_DeadlineDuringRetryBackoff: the first attempt may have run, so the response must not imply that the
+// request has not run.
 func TestForward_DeadlineDuringRetryBackoff(t *testing.T) {
-	r := newTestProxy(t, respondAndClose(okHead[:20]), respondWith(okResponse))
-	r.picker.decisions = []placement.Decision{{Kind: placement.Picked}, {Kind: placement.Wait, Delay: time.Minute}}
-	request := r.request("/fetch/x", "")
+	proxy := newTestProxy(t, respondAndClose(okHead[:20]), respondWith(okResponse))
+	proxy.picker.decisions = []placement.Decision{{Kind: placement.Picked}, {Kind: placement.Wait, Delay: time.Minute}}
+	request := proxy.request("/fetch/x", "")
 	request.Header.Set("X-Time-Left", "100")
-	assert.Equal(t, 504, r.do(request).status)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
+	assert.Equal(t, 504, proxy.do(request).status)
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, proxy.picker.recordedOutcomes())
 }
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -12,19 +12,19 @@
 	"rowanlink/test/fake/scriptedendpoint"
 )
 
-// TestDrain_Phases checks the behavior in each phase while Drain sleeps.
+// TestDrain_Phases replaces the sleeps of Drain, to check the server's behavior in each phase.
 func TestDrain_Phases(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		for request := conn.ReadRequest(); request != nil; request = conn.ReadRequest() {
 			if request.RequestURI == "/once/long" {
 				close(reached)
 				<-release
 			}
-			p.WriteText(okResponse)
+			conn.WriteText(okResponse)
 		}
 	})
-	long, rejected := r.dial(), r.dial()
+	long, rejected := proxy.dial(), proxy.dial()
 	long.send(rawGet("/once/long"))
 	<-reached
 
@@ -34,30 +34,31 @@
 		sleeps = append(sleeps, span)
 		switch len(sleeps) {
 		case 1:
-			fresh := r.dial()
+			fresh := proxy.dial()
 			fresh.send(rawGet("/once/x"))
-			answer := fresh.receive()
-			assert.Equal(t, 200, answer.StatusCode, "clients switch to other proxies only gradually")
-			assert.True(t, answer.Close)
+			response := fresh.receive()
+			assert.Equal(t, 200, response.StatusCode, "clients switch to other proxies only gradually")
+			assert.True(t, response.Close)
 		case 2:
 			rejected.send(rawGet("/once/x"))
 			assert.Equal(t, 503, rejected.receive().StatusCode)
 		case 3:
-			assert.False(t, r.server.isDrained())
+			assert.False(t, proxy.server.isDrained())
 			close(release)
 			assert.Equal(t, 200, long.receive().StatusCode)
 		}
 	}
-	r.server.sleep = func(_ context.Context, span time.Duration) bool {
+	proxy.server.sleep = func(_ context.Context, span time.Duration) bool {
 		observePhase(span)
 		return true
 	}
-	r.server.Drain(t.Context(), time.Minute)
+	proxy.server.Drain(t.Context(), time.Minute)
 	require.GreaterOrEqual(t, len(sleeps), 3, "a response was in flight")
 	assert.Equal(t, []time.Duration{plan.serve, plan.reject, drainPollInterval}, sleeps[:3])
 }
 
-// TestDrain_WaitsForUnreadRequest: a request that has arrived on an idle connection is not counted by any handler.
+// TestDrain_WaitsForUnreadRequest: a request that has arrived on an idle connection but was not read yet is not among
+// the requests in flight. Drain must wait for it nevertheless.
 func TestDrain_WaitsForUnreadRequest(t *testing.T) {
 	own := listen(t)
 	client := dial(t, own.Addr().String())
@@ -73,5 +74,5 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !s.isDrained() }, 10*time.Second, time.Millisecond)
 	recordConnState(accepted, http.StateActive)
-	assert.False(t, s.isDrained(), "its head is being read")
+	assert.False(t, s.isDrained(), "the headers are being read")
 }
--- a/serving/httpserver/event_reader_test.go
+++ b/serving/httpserver/event_reader_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// chunkedReader reads from a text in chunks of the given sizes.
+// chunkedReader returns a text in chunks of the given sizes, then the rest at once, then an error.
 type chunkedReader struct {
 	text  string
 	sizes []int
@@ -32,7 +32,8 @@
 	return n, nil
 }
 
-// TestEventReader_Property: however the bytes arrive, all are returned in order, and split only after blank lines.
+// TestEventReader_Property: however the bytes are split when they arrive, they are returned in order and split only
+// after blank lines. If the source ends cleanly, none is missing.
 func TestEventReader_Property(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		line := rapid.SampledFrom([]string{"data: x\n", "id: 7\r\n", "\n", "\r\n", ": c\n", "versions: 3\n", "\rdata\n"})
--- a/serving/httpserver/fuzz_test.go
+++ b/serving/httpserver/fuzz_test.go
@@ -14,8 +14,8 @@
 	"rowanlink/serving/routing"
 )
 
-// FuzzRequestHeaders: whatever a client states, the deadline lies between the arrival and the route's timeout, and
-// sums of token counts don't overflow.
+// FuzzRequestHeaders: whatever headers a client sends, the deadline is not before the request's arrival and not after
+// the route's timeout, and sums of token counts don't overflow.
 func FuzzRequestHeaders(f *testing.F) {
 	f.Add("5000", "1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250")
 	f.Add("-1", "-3,9223372036854775807", "a:9223372036854775807,b:9223372036854775807")
@@ -51,7 +51,7 @@
 	})
 }
 
-// FuzzRequestTarget: the request target sent to the endpoint is what the client wrote after the host.
+// FuzzRequestTarget: the request target sent to the endpoint is what follows the host in the URL that the client sent.
 func FuzzRequestTarget(f *testing.F) {
 	for _, uri := range []string{"/a/b?c=d", "http://x.example/a?b", "http://x.example?b", "*", "http://x//a", "//a/b"} {
 		f.Add(uri)
@@ -72,7 +72,7 @@
 	})
 }
 
-// splitEventsNaively splits a stream line by line: an event ends with a blank line that follows a line.
+// splitEventsNaively splits a stream line by line: an event ends with a blank line that follows another line.
 func splitEventsNaively(text string) (events []string, rest string) {
 	event, started := "", false
 	for line := range strings.Lines(text) {
@@ -90,8 +90,8 @@
 	return events, event
 }
 
-// dropBlankLines removes surplus blank lines between events: which event they belong to depends on how the bytes
-// arrive, and they have no meaning.
+// dropBlankLines removes surplus blank lines between events. They have no meaning, and how the bytes arrive decides
+// which event they are returned with.
 func dropBlankLines(events []string) (remaining []string) {
 	for _, event := range events {
 		if event = strings.TrimLeft(event, "\r\n"); event != "" {
@@ -101,8 +101,8 @@
 	return remaining
 }
 
-// FuzzEventReader: however the bytes arrive, none is lost, added or returned before its event is complete, and the
-// events are those of splitEventsNaively.
+// FuzzEventReader: however the bytes are split when they arrive, none is lost, added or returned before its event is
+// complete, and the events are those that splitEventsNaively finds.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\r\ndata: y\r\n\r\nhalf", []byte{1, 2, 3}, true)
 	f.Add("\n\n\r\n\n: c\n\n", []byte{7}, false)
--- a/serving/httpserver/helpers_test.go
+++ b/serving/httpserver/helpers_test.go
@@ -34,14 +34,14 @@
  {"name":"model","health_path":"/h","conn_cap":100,"engine":{"berths":8,"cache_tokens":1000,"stride":4}}],
  "limits":{"header_bytes":4096,"body_bytes":100000,"header_wait_ms":3000,"idle_ms":15000}}`
 
-// fakePicker returns its endpoints in order, each once per request.
+// fakePicker picks its endpoints in order, each one once per request.
 type fakePicker struct {
 	mu             sync.Mutex
 	endpoints      []state.Endpoint
-	decisions      []placement.Decision // returned first
+	decisions      []placement.Decision // of the first picks; with the kind Picked, an endpoint is picked as usual
 	requests       []placement.Request
 	outcomes       []attempt.Outcome
-	reuseEndpoints bool // endpoints are returned again to the same request
+	reuseEndpoints bool // the same endpoint may be picked again for a request
 }
 
 func (p *fakePicker) Pick(_ time.Time, r placement.Request) (placement.Choice, placement.Decision) {
@@ -81,13 +81,13 @@
 // immediateRetries is a retry policy without backoff.
 type immediateRetries struct{ *retry.Policy }
 
-func (e immediateRetries) Decide(now time.Time, try retry.FailedAttempt) retry.Decision {
-	decision := e.Policy.Decide(now, try)
+func (p immediateRetries) Decide(now time.Time, failed retry.FailedAttempt) retry.Decision {
+	decision := p.Policy.Decide(now, failed)
 	decision.Backoff = 0
 	return decision
 }
 
-// testProxy is a server with endpoints that follow scripts.
+// testProxy is a server whose endpoints follow scripts, with a client.
 type testProxy struct {
 	t                *testing.T
 	picker           *fakePicker
@@ -99,49 +99,51 @@
 	client           *http.Client
 }
 
-// testConnectTimeout leaves time for connecting on a busy test machine; no test here is about connecting.
+// testConnectTimeout is long, so that connecting succeeds even on a busy test machine: no test here is about
+// connecting.
 const testConnectTimeout = 10 * time.Second
 
-// newTestProxy starts a server with one endpoint for each script. Retries have no backoff and no budget.
+// newTestProxy starts a server with one endpoint for each script. Retries have no backoff, and their budget is too
+// large to matter.
 func newTestProxy(t *testing.T, scripts ...func(*scriptedendpoint.Conn)) *testProxy {
 	table, err := routing.Parse([]byte(testConfiguration))
 	require.NoError(t, err)
-	r := &testProxy{t: t, table: table, ready: true, picker: &fakePicker{}}
+	proxy := &testProxy{t: t, table: table, ready: true, picker: &fakePicker{}}
 	for number, script := range scripts {
 		id := "i-" + string(rune('a'+number))
-		r.picker.endpoints = append(r.picker.endpoints, state.Endpoint{
+		proxy.picker.endpoints = append(proxy.picker.endpoints, state.Endpoint{
 			ID:      id,
 			Address: scriptedendpoint.Start(t, script).Address(),
 		})
 	}
-	r.start()
-	return r
+	proxy.start()
+	return proxy
 }
 
-// patience stands for all time-outs of a patient proxy: no load of the test machine reaches it.
-const patience = "600000"
+// longTimeoutMillis is a timeout, in milliseconds, that doesn't expire even if the test machine is very busy.
+const longTimeoutMillis = "600000"
 
-// newPatientProxy is newTestProxy with a configuration whose time-outs are too long to matter, for tests that are not
-// about time.
-func newPatientProxy(t *testing.T, scripts ...func(*scriptedendpoint.Conn)) *testProxy {
-	r := newTestProxy(t, scripts...)
-	patient := regexp.MustCompile(`"(timeout|target|gap_aim)_ms":\d+`).
-		ReplaceAllString(testConfiguration, `"${1}_ms":`+patience)
-	table, err := routing.Parse([]byte(patient))
+// newTestProxyWithLongTimeouts is like newTestProxy, with all timeouts of the routes set to longTimeoutMillis. It is
+// for tests that are not about time.
+func newTestProxyWithLongTimeouts(t *testing.T, scripts ...func(*scriptedendpoint.Conn)) *testProxy {
+	proxy := newTestProxy(t, scripts...)
+	configuration := regexp.MustCompile(`"(timeout|target|gap_aim)_ms":\d+`).
+		ReplaceAllString(testConfiguration, `"${1}_ms":`+longTimeoutMillis)
+	table, err := routing.Parse([]byte(configuration))
 	require.NoError(t, err)
-	r.table = table
-	return r
+	proxy.table = table
+	return proxy
 }
 
-// patientRequest is request with all the time that a patient proxy has.
-func (r *testProxy) patientRequest(path, body string) *http.Request {
-	request := r.request(path, body)
-	request.Header.Set("X-Time-Left", patience)
+// requestWithLongDeadline is like request, with longTimeoutMillis left.
+func (proxy *testProxy) requestWithLongDeadline(path, body string) *http.Request {
+	request := proxy.request(path, body)
+	request.Header.Set("X-Time-Left", longTimeoutMillis)
 	return request
 }
 
-func (r *testProxy) start() {
-	clients, checks := listen(r.t), listen(r.t)
+func (proxy *testProxy) start() {
+	clients, checks := listen(proxy.t), listen(proxy.t)
 	log := zerolog.Nop()
 	policy := immediateRetries{retry.New(time.Now(), retry.Limits{
 		Ratio:  1000,
@@ -149,43 +151,43 @@
 		Window: 10 * time.Second,
 	}, 1)}
 	pool := upstream.New(upstream.Options{ConnectTimeout: testConnectTimeout})
-	r.server = New(Options{
-		ClientListener: clients, ReadinessListener: checks, RoutingTable: func() *routing.Table { return r.table },
-		Ready:           func() bool { return r.ready },
+	proxy.server = New(Options{
+		ClientListener: clients, ReadinessListener: checks, RoutingTable: func() *routing.Table { return proxy.table },
+		Ready:           func() bool { return proxy.ready },
 		ConnectionShare: func(s *routing.Service) int { return s.MaxConnections },
-		Picker:          r.picker, RetryPolicy: policy, Pool: pool, Log: &log,
+		Picker:          proxy.picker, RetryPolicy: policy, Pool: pool, Log: &log,
 	})
-	r.address, r.readinessAddress = clients.Addr().String(), checks.Addr().String()
-	r.server.Start()
-	r.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	r.t.Cleanup(func() {
-		r.client.CloseIdleConnections()
-		r.server.Close()
+	proxy.address, proxy.readinessAddress = clients.Addr().String(), checks.Addr().String()
+	proxy.server.Start()
+	proxy.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	proxy.t.Cleanup(func() {
+		proxy.client.CloseIdleConnections()
+		proxy.server.Close()
 		pool.Close()
 	})
 }
 
-// request returns a client's request with attempt ID "a1" and five seconds left.
-func (r *testProxy) request(path, body string) *http.Request {
-	request, err := http.NewRequestWithContext(r.t.Context(), http.MethodPost, "http://"+r.address+path, strings.NewReader(body))
-	require.NoError(r.t, err)
+// request returns a client's request with attempt ID "a1" and a deadline in five seconds.
+func (proxy *testProxy) request(path, body string) *http.Request {
+	request, err := http.NewRequestWithContext(proxy.t.Context(), http.MethodPost, "http://"+proxy.address+path, strings.NewReader(body))
+	require.NoError(proxy.t, err)
 	request.Host = "shop.example"
 	request.Header.Set("X-Attempt-Id", "a1")
 	request.Header.Set("X-Time-Left", "5000")
 	return request
 }
 
-// clientResponse is what a client has received.
+// clientResponse is the response that a client has received, all zero if there is none.
 type clientResponse struct {
 	status   int
 	header   http.Header
 	body     string
-	complete bool // the end of the body was received
+	complete bool // the body was received to its end
 }
 
-// do sends a request and reads the response up to its end or failure.
-func (r *testProxy) do(request *http.Request) clientResponse {
-	response, err := r.client.Do(request)
+// do sends a request and reads the response until it ends or fails.
+func (proxy *testProxy) do(request *http.Request) clientResponse {
+	response, err := proxy.client.Do(request)
 	if err != nil {
 		return clientResponse{}
 	}
@@ -214,18 +216,18 @@
 
 // respondWith returns a script that gives the same response to each request.
 func respondWith(text string) func(*scriptedendpoint.Conn) {
-	return func(p *scriptedendpoint.Conn) {
-		for p.ReadRequest() != nil {
-			p.WriteText(text)
+	return func(conn *scriptedendpoint.Conn) {
+		for conn.ReadRequest() != nil {
+			conn.WriteText(text)
 		}
 	}
 }
 
-// respondAndClose returns a script that closes the connection after part of a response.
+// respondAndClose returns a script that sends a text, usually part of a response, and closes the connection.
 func respondAndClose(text string) func(*scriptedendpoint.Conn) {
-	return func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
-		p.WriteText(text)
+	return func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
+		conn.WriteText(text)
 	}
 }
 
--- a/serving/httpserver/limit_test.go
+++ b/serving/httpserver/limit_test.go
@@ -12,25 +12,26 @@
 	"rowanlink/test/fake/scriptedendpoint"
 )
 
-// TestForward_EndpointAtConnectionLimitIsSkipped: a request that may run only once goes to another endpoint if no
-// connection may be opened, and the outcome reported to the picker is no sign of the endpoint's health.
+// TestForward_EndpointAtConnectionLimitIsSkipped: if the limit of connections to an endpoint is reached, even a request
+// that may run only once goes to another endpoint. The outcome reported to the picker doesn't count against the first
+// endpoint's health.
 func TestForward_EndpointAtConnectionLimitIsSkipped(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
 		close(reached)
 		<-release
-		p.WriteText(okResponse)
+		conn.WriteText(okResponse)
 	}, respondWith(okResponse))
 	table, err := routing.Parse([]byte(strings.ReplaceAll(testConfiguration, `"conn_cap":100`, `"conn_cap":1`)))
 	require.NoError(t, err)
-	r.table = table
+	proxy.table = table
 
 	pending := make(chan clientResponse)
-	go func() { pending <- r.do(r.request("/once/pending", "")) }()
+	go func() { pending <- proxy.do(proxy.request("/once/pending", "")) }()
 	<-reached
-	assert.Equal(t, 200, r.do(r.request("/once/x", "")).status)
-	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, r.picker.recordedOutcomes())
+	assert.Equal(t, 200, proxy.do(proxy.request("/once/x", "")).status)
+	assert.Equal(t, []attempt.Outcome{attempt.AtLimit, attempt.Succeeded}, proxy.picker.recordedOutcomes())
 	close(release)
 	assert.Equal(t, 200, (<-pending).status)
 }
--- a/serving/httpserver/server_test.go
+++ b/serving/httpserver/server_test.go
@@ -18,57 +18,58 @@
 )
 
 func TestServeHTTP_NoRoute(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	a := r.do(r.request("/nowhere/x", "q"))
-	assert.Equal(t, 404, a.status)
-	assert.JSONEq(t, `{"error":"no route matches","code":501}`, a.body)
-	other := r.request("/fetch/x", "")
+	proxy := newTestProxy(t, respondWith(okResponse))
+	response := proxy.do(proxy.request("/nowhere/x", "q"))
+	assert.Equal(t, 404, response.status)
+	assert.JSONEq(t, `{"error":"no route matches","code":501}`, response.body)
+	other := proxy.request("/fetch/x", "")
 	other.Host = "other.example"
-	assert.Equal(t, 404, r.do(other).status)
-	assert.Empty(t, r.picker.requests)
+	assert.Equal(t, 404, proxy.do(other).status)
+	assert.Empty(t, proxy.picker.requests)
 }
 
 func TestServeHTTP_NoConfiguration(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	r.table = nil
-	a := r.do(r.request("/nowhere/x", "q"))
-	assert.Equal(t, 503, a.status)
-	assert.Equal(t, "0.250", a.header.Get("Retry-After"))
+	proxy := newTestProxy(t, respondWith(okResponse))
+	proxy.table = nil
+	response := proxy.do(proxy.request("/nowhere/x", "q"))
+	assert.Equal(t, 503, response.status)
+	assert.Equal(t, "0.250", response.header.Get("Retry-After"))
 }
 
 func TestServeHTTP_RequestLimits(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
+	proxy := newTestProxy(t, respondWith(okResponse))
 	large := strings.Repeat("x", 100_001)
-	assert.Equal(t, 413, r.do(r.request("/once/x", large)).status)
-	inChunks := r.request("/once/x", "")
+	assert.Equal(t, 413, proxy.do(proxy.request("/once/x", large)).status)
+	inChunks := proxy.request("/once/x", "")
 	inChunks.Body, inChunks.ContentLength = io.NopCloser(strings.NewReader(large)), -1
-	assert.Equal(t, 413, r.do(inChunks).status)
-	assert.Equal(t, 200, r.do(r.request("/once/x", large[1:])).status, "within the limit")
+	assert.Equal(t, 413, proxy.do(inChunks).status)
+	assert.Equal(t, 200, proxy.do(proxy.request("/once/x", large[1:])).status, "within the limit")
 
-	head := r.request("/once/x", "")
+	head := proxy.request("/once/x", "")
 	head.Header.Set("X-Long", strings.Repeat("x", 4096))
-	assert.Equal(t, 431, r.do(head).status)
+	assert.Equal(t, 431, proxy.do(head).status)
 }
 
 func TestBodyMemory(t *testing.T) {
 	memory := bodyMemory{limit: 200 << 10}
-	assert.True(t, memory.reserve(uncountedBodySize), "small ones don't count")
+	assert.True(t, memory.reserve(uncountedBodySize), "small bodies reserve nothing")
 	assert.True(t, memory.reserve(150<<10))
-	assert.False(t, memory.reserve(-1), "of unknown length")
+	assert.False(t, memory.reserve(-1), "a body of unknown length doesn't fit")
 	memory.release(150 << 10)
 	assert.True(t, memory.reserve(-1))
 	memory.release(-1)
 	assert.Zero(t, memory.reserved.Load())
 }
 
-// TestMetrics_CountResponsesAndAttempts reads the figures where the platform asks whether the process is ready.
+// TestMetrics_CountResponsesAndAttempts reads the metrics from the listener for readiness checks, which serves them
+// too.
 func TestMetrics_CountResponsesAndAttempts(t *testing.T) {
-	r := newPatientProxy(t, respondWith(rejectedResponse), respondWith(okResponse))
-	require.Equal(t, 200, r.do(r.patientRequest("/fetch/x", "q")).status)
-	require.Equal(t, 404, r.do(r.patientRequest("/nowhere/x", "q")).status)
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.readinessAddress+metrics.Path, nil)
+	proxy := newTestProxyWithLongTimeouts(t, respondWith(rejectedResponse), respondWith(okResponse))
+	require.Equal(t, 200, proxy.do(proxy.requestWithLongDeadline("/fetch/x", "q")).status)
+	require.Equal(t, 404, proxy.do(proxy.requestWithLongDeadline("/nowhere/x", "q")).status)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+proxy.readinessAddress+metrics.Path, nil)
 	require.NoError(t, err)
-	response, err := r.client.Do(request)
+	response, err := proxy.client.Do(request)
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	written, err := io.ReadAll(response.Body)
@@ -87,36 +88,36 @@
 }
 
 func TestReadiness_FailsWhileDraining(t *testing.T) {
-	r := newTestProxy(t)
+	proxy := newTestProxy(t)
 	check := func() int {
-		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+r.readinessAddress+"/readiness", nil)
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+proxy.readinessAddress+"/readiness", nil)
 		require.NoError(t, err)
-		response, err := r.client.Do(request)
+		response, err := proxy.client.Do(request)
 		require.NoError(t, err)
 		defer func() { _ = response.Body.Close() }()
 		return response.StatusCode
 	}
 	assert.Equal(t, 200, check())
-	r.server.startDraining()
+	proxy.server.startDraining()
 	assert.Equal(t, 503, check())
 }
 
 func TestReady_NeedsStateOfTheSystem(t *testing.T) {
-	r := newTestProxy(t)
-	r.ready = false
-	assert.False(t, r.server.Ready())
+	proxy := newTestProxy(t)
+	proxy.ready = false
+	assert.False(t, proxy.server.Ready())
 }
 
-// rawClient is a client's connection without an HTTP client.
+// rawClient is a client that writes requests to its connection as text.
 type rawClient struct {
 	t *testing.T
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (r *testProxy) dial() *rawClient {
-	c := dial(r.t, r.address)
-	return &rawClient{t: r.t, Conn: c, reader: bufio.NewReader(c)}
+func (proxy *testProxy) dial() *rawClient {
+	c := dial(proxy.t, proxy.address)
+	return &rawClient{t: proxy.t, Conn: c, reader: bufio.NewReader(c)}
 }
 
 func (c *rawClient) send(text string) {
@@ -124,7 +125,7 @@
 	require.NoError(c.t, err)
 }
 
-// rawResponse is the head of a response that was read completely.
+// rawResponse is the status and headers of a response that was read completely.
 type rawResponse struct {
 	StatusCode int
 	Close      bool
@@ -146,58 +147,59 @@
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a1\r\nX-Time-Left: 5000\r\n\r\n", path)
 }
 
-// TestDrain_RequestsInEachPhase goes through the phases of a shutdown with a request in each.
+// TestDrain_RequestsInEachPhase sends a request in each phase of a graceful shutdown.
 func TestDrain_RequestsInEachPhase(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		for request := p.ReadRequest(); request != nil; request = p.ReadRequest() {
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		for request := conn.ReadRequest(); request != nil; request = conn.ReadRequest() {
 			if strings.HasSuffix(request.RequestURI, "long") {
 				close(reached)
 				<-release
 			}
-			p.WriteText(okResponse)
+			conn.WriteText(okResponse)
 		}
 	})
-	long, idle, fresh := r.dial(), r.dial(), r.dial()
+	long, idle, fresh := proxy.dial(), proxy.dial(), proxy.dial()
 	long.send(rawGet("/once/long"))
 	<-reached
 	idle.send(rawGet("/once/x"))
 	assert.False(t, idle.receive().Close)
 
-	r.server.startDraining()
+	proxy.server.startDraining()
 	idle.send(rawGet("/once/x"))
-	answer := idle.receive()
-	assert.Equal(t, 200, answer.StatusCode)
-	assert.True(t, answer.Close)
+	response := idle.receive()
+	assert.Equal(t, 200, response.StatusCode)
+	assert.True(t, response.Close)
 	_, err := idle.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
 
-	r.server.rejectNewRequests()
+	proxy.server.rejectNewRequests()
 	fresh.send(rawGet("/once/x"))
-	answer = fresh.receive()
-	assert.Equal(t, 503, answer.StatusCode)
-	assert.True(t, answer.Close)
-	assert.Equal(t, "0.020", answer.Header.Get("Retry-After"))
+	response = fresh.receive()
+	assert.Equal(t, 503, response.StatusCode)
+	assert.True(t, response.Close)
+	assert.Equal(t, "0.020", response.Header.Get("Retry-After"))
 
-	r.server.stopListening()
-	_, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", r.address)
+	proxy.server.stopListening()
+	_, err = (&net.Dialer{}).DialContext(t.Context(), "tcp", proxy.address)
 	assert.Error(t, err)
-	assert.False(t, r.server.isDrained())
+	assert.False(t, proxy.server.isDrained())
 	close(release)
 	assert.Equal(t, 200, long.receive().StatusCode)
 	_, err = long.reader.ReadByte()
 	assert.Equal(t, io.EOF, err)
-	r.server.Drain(t.Context(), 0)
+	proxy.server.Drain(t.Context(), 0)
 }
 
-// TestDrain_LateRequestIsRejected: a request that arrives at the end of a shutdown gets a response.
+// TestDrain_LateRequestIsRejected: a request on an idle connection is rejected with a response, even late in a
+// shutdown.
 func TestDrain_LateRequestIsRejected(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	client := r.dial()
+	proxy := newTestProxy(t, respondWith(okResponse))
+	client := proxy.dial()
 	client.send(rawGet("/once/x"))
 	client.receive()
-	r.server.startDraining()
-	r.server.rejectNewRequests()
+	proxy.server.startDraining()
+	proxy.server.rejectNewRequests()
 	client.send(rawGet("/once/x"))
 	assert.Equal(t, 503, client.receive().StatusCode)
 }
@@ -212,35 +214,36 @@
 	}
 }
 
-// TestServeHTTP_LateBody: a client whose body doesn't arrive in time is notified that its request has not run.
+// TestServeHTTP_LateBody: if the body doesn't arrive in time, the response tells the client that the request has not
+// run.
 func TestServeHTTP_LateBody(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	client := r.dial()
+	proxy := newTestProxy(t, respondWith(okResponse))
+	client := proxy.dial()
 	client.send("POST /once/x HTTP/1.1\r\nHost: shop.example\r\nX-Time-Left: 20\r\nContent-Length: 5\r\n\r\nab")
-	answer := client.receive()
-	assert.Equal(t, 408, answer.StatusCode)
-	assert.True(t, answer.Close)
-	assert.Empty(t, r.picker.requests)
+	response := client.receive()
+	assert.Equal(t, 408, response.StatusCode)
+	assert.True(t, response.Close)
+	assert.Empty(t, proxy.picker.requests)
 }
 
-// TestListener_ReadDeadlines: the deadline of a read follows from the connection's state.
+// TestListener_ReadDeadlines: a read has the deadline that belongs to the connection's state.
 func TestListener_ReadDeadlines(t *testing.T) {
-	r := newTestProxy(t)
-	l := r.server.listener
+	proxy := newTestProxy(t)
+	l := proxy.server.listener
 	assert.InDelta(t, 3, time.Until(l.readDeadline(http.StateNew)).Seconds(), 1)
 	assert.InDelta(t, 17, time.Until(l.readDeadline(http.StateIdle)).Seconds(), 1)
 	assert.True(t, l.readDeadline(stateServing).IsZero())
 }
 
 func TestListener_NearLimit(t *testing.T) {
-	r := newTestProxy(t, respondWith(okResponse))
-	r.server.listener.mu.Lock()
-	r.server.listener.maxConnections = 2
-	r.server.listener.mu.Unlock()
-	first := r.dial()
+	proxy := newTestProxy(t, respondWith(okResponse))
+	proxy.server.listener.mu.Lock()
+	proxy.server.listener.maxConnections = 2
+	proxy.server.listener.mu.Unlock()
+	first := proxy.dial()
 	first.send(rawGet("/once/x"))
 	first.receive()
-	second := r.dial()
+	second := proxy.dial()
 	second.send(rawGet("/once/x"))
 	assert.True(t, second.receive().Close, "near the limit, connections are closed after their response")
 	_, err := second.reader.ReadByte()
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -27,7 +27,7 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// testEvent returns event number n; every third one has another field before its ID.
+// testEvent returns the event with ID n. If n is divisible by three, another field precedes the ID.
 func testEvent(n int) string {
 	version := ""
 	if n%3 == 0 {
@@ -36,6 +36,7 @@
 	return fmt.Sprintf("%sid: %d\ndata: piece %d\n\n", version, n, n)
 }
 
+// testEvents returns the events with the IDs from first to last.
 func testEvents(first, last int) (text string) {
 	for n := first; n <= last; n++ {
 		text += testEvent(n)
@@ -45,30 +46,30 @@
 
 func TestStream_RelayedEventByEvent(t *testing.T) {
 	next := make(chan string)
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		request := p.ReadRequest()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		request := conn.ReadRequest()
 		if request == nil { // the proxy has abandoned the connection
 			return
 		}
 		if request.Header.Get("Priority") != "2" {
 			return
 		}
-		p.WriteText(streamHead)
+		conn.WriteText(streamHead)
 		for text := range next {
-			p.WriteText(text)
+			conn.WriteText(text)
 		}
-		p.ReadToEnd()
+		conn.ReadToEnd()
 	})
 	go func() {
 		next <- chunk(testEvent(1)[:5])
 		next <- chunk(testEvent(1)[5:])
 	}()
-	response, err := r.client.Do(r.request("/chat/x", ""))
+	response, err := proxy.client.Do(proxy.request("/chat/x", ""))
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	assert.Equal(t, "text/event-stream", response.Header.Get("Content-Type"))
 	body := bufio.NewReader(response.Body)
-	for n := 1; n <= 5; n++ { // each one arrives before the next one is sent
+	for n := 1; n <= 5; n++ { // each event arrives at the client before the next one is sent
 		got := ""
 		for !strings.HasSuffix(got, "\n\n") {
 			line, err := body.ReadString('\n')
@@ -87,29 +88,29 @@
 }
 
 func TestStream_ClientsLastEventID(t *testing.T) {
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		request := p.ReadRequest()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		request := conn.ReadRequest()
 		if request == nil { // the proxy has abandoned the connection
 			return
 		}
 		last, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-		p.WriteText(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
+		conn.WriteText(streamHead + chunk(testEvents(last+1, 6)) + lastChunk)
 	})
-	request := r.request("/chat/x", "")
+	request := proxy.request("/chat/x", "")
 	request.Header.Set("Last-Event-Id", "4")
-	assert.Equal(t, testEvents(5, 6), r.do(request).body)
+	assert.Equal(t, testEvents(5, 6), proxy.do(request).body)
 }
 
 func TestStream_NotResumable(t *testing.T) {
-	r := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1)+"id: 2\n")), respondWith(okResponse))
-	a := r.do(r.request("/draft/x", ""))
-	assert.Equal(t, 200, a.status)
-	assert.Equal(t, testEvent(1), a.body)
-	assert.False(t, a.complete)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
+	proxy := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1)+"id: 2\n")), respondWith(okResponse))
+	response := proxy.do(proxy.request("/draft/x", ""))
+	assert.Equal(t, 200, response.status)
+	assert.Equal(t, testEvent(1), response.body)
+	assert.False(t, response.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, proxy.picker.recordedOutcomes())
 
-	r = newTestProxy(t, respondAndClose(streamHead+chunk("id: 1\n")), respondWith(okResponse))
-	assert.Equal(t, 502, r.do(r.request("/draft/x", "")).status, "nothing of it was passed on")
+	proxy = newTestProxy(t, respondAndClose(streamHead+chunk("id: 1\n")), respondWith(okResponse))
+	assert.Equal(t, 502, proxy.do(proxy.request("/draft/x", "")).status, "no event was relayed")
 }
 
 func TestStream_NoEndpointResumes(t *testing.T) {
@@ -117,79 +118,82 @@
 		"full": respondWith(rejectedResponse), "own error": respondWith(serverErrorResponse), "no stream": respondWith(okResponse), "break": respondAndClose(""),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1))), second)
-			a := r.do(r.request("/chat/x", ""))
-			assert.Equal(t, testEvent(1), a.body)
-			assert.False(t, a.complete)
+			proxy := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1))), second)
+			response := proxy.do(proxy.request("/chat/x", ""))
+			assert.Equal(t, testEvent(1), response.body)
+			assert.False(t, response.complete)
 		})
 	}
 }
 
-// scarceRetries is a retry policy whose budget is used up for its first decisions after one that it grants.
-type scarceRetries struct {
+// exhaustedBudgetPolicy is a retry policy whose retry budget is exhausted for some decisions, beginning with the second
+// one.
+type exhaustedBudgetPolicy struct {
 	RetryPolicy
-	decisions atomic.Int64
-	exhausted int64
+	decisions atomic.Int64 // decisions made
+	exhausted int64        // number of decisions for which the budget is exhausted
 }
 
-func (s *scarceRetries) Decide(now time.Time, failed retry.FailedAttempt) retry.Decision {
+func (s *exhaustedBudgetPolicy) Decide(now time.Time, failed retry.FailedAttempt) retry.Decision {
 	if n := s.decisions.Add(1); n > 1 && n <= 1+s.exhausted {
 		return retry.Decision{BudgetExhausted: true, End: retry.EndFailed, Backoff: time.Millisecond}
 	}
 	return s.RetryPolicy.Decide(now, failed)
 }
 
-// TestStream_WaitsForRetryBudget: a stream was abandoned as another attempt had been granted, and that one didn't run.
-// The client has part of the stream already, so it isn't cut off while there is no budget for a third attempt.
+// TestStream_WaitsForRetryBudget: the first attempt at a stream is abandoned because a second attempt has been granted,
+// and the second attempt ends as Misdirected. The client has part of the stream already, so the proxy waits for
+// retry budget for a third attempt, instead of ending the stream.
 func TestStream_WaitsForRetryBudget(t *testing.T) {
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
-		p.WriteText(streamHead + chunk(testEvents(1, 2)))
-		p.ReadToEnd()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
+		conn.WriteText(streamHead + chunk(testEvents(1, 2)))
+		conn.ReadToEnd()
 	}, respondWith(misdirectedResponse), resumeStream(t, 5))
-	policy := &scarceRetries{RetryPolicy: r.server.options.RetryPolicy, exhausted: 5}
-	r.server.options.RetryPolicy = policy
-	a := r.do(r.request("/chat/x", ""))
-	assert.Equal(t, testEvents(1, 5), a.body)
-	assert.True(t, a.complete)
-	assert.Equal(t, int64(7), policy.decisions.Load(), "asked again until there was budget")
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Misdirected, attempt.Succeeded}, r.picker.recordedOutcomes())
+	policy := &exhaustedBudgetPolicy{RetryPolicy: proxy.server.options.RetryPolicy, exhausted: 5}
+	proxy.server.options.RetryPolicy = policy
+	response := proxy.do(proxy.request("/chat/x", ""))
+	assert.Equal(t, testEvents(1, 5), response.body)
+	assert.True(t, response.complete)
+	assert.Equal(t, int64(7), policy.decisions.Load(), "the policy is asked until there is budget")
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Misdirected, attempt.Succeeded}, proxy.picker.recordedOutcomes())
 }
 
-// TestForward_RejectsAtOnceWithoutRetryBudget: a request of which the client has nothing yet is answered at once.
+// TestForward_RejectsAtOnceWithoutRetryBudget: if the client has received nothing yet and there is no retry budget, the
+// request is rejected without waiting for budget.
 func TestForward_RejectsAtOnceWithoutRetryBudget(t *testing.T) {
-	r := newPatientProxy(t, respondWith(rejectedResponse), respondWith(okResponse))
-	policy := &scarceRetries{RetryPolicy: r.server.options.RetryPolicy, exhausted: 1 << 30}
+	proxy := newTestProxyWithLongTimeouts(t, respondWith(rejectedResponse), respondWith(okResponse))
+	policy := &exhaustedBudgetPolicy{RetryPolicy: proxy.server.options.RetryPolicy, exhausted: 1 << 30}
 	policy.decisions.Store(1)
-	r.server.options.RetryPolicy = policy
-	a := r.do(r.patientRequest("/fetch/x", ""))
-	assert.Equal(t, http.StatusServiceUnavailable, a.status)
+	proxy.server.options.RetryPolicy = policy
+	response := proxy.do(proxy.requestWithLongDeadline("/fetch/x", ""))
+	assert.Equal(t, http.StatusServiceUnavailable, response.status)
 	assert.Equal(t, int64(2), policy.decisions.Load())
 }
 
 func TestStream_StalledStreamIsResumed(t *testing.T) {
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
-		p.WriteText(streamHead + chunk(testEvents(1, 2)))
-		p.ReadToEnd()
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
+		conn.WriteText(streamHead + chunk(testEvents(1, 2)))
+		conn.ReadToEnd()
 	}, resumeStream(t, 5))
-	a := r.do(r.request("/chat/x", ""))
-	assert.Equal(t, testEvents(1, 5), a.body)
-	assert.True(t, a.complete)
-	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, r.picker.recordedOutcomes())
+	response := proxy.do(proxy.request("/chat/x", ""))
+	assert.Equal(t, testEvents(1, 5), response.body)
+	assert.True(t, response.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.TimedOut, attempt.Succeeded}, proxy.picker.recordedOutcomes())
 }
 
-// TestStream_WithoutContentType: such a stream is not buffered, and its connection stays open as long as the endpoint
-// announces.
+// TestStream_WithoutContentType: on a route for streams, a response of unknown length is not buffered even without a
+// Content-Type. The endpoint announces an idle timeout of zero, so its connection is closed after the response.
 func TestStream_WithoutContentType(t *testing.T) {
 	next := make(chan string)
-	r := newTestProxy(t, func(p *scriptedendpoint.Conn) {
-		for p.ReadRequest() != nil {
-			p.WriteText(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(testEvent(1)))
-			p.WriteText(<-next)
+	proxy := newTestProxy(t, func(conn *scriptedendpoint.Conn) {
+		for conn.ReadRequest() != nil {
+			conn.WriteText(okHead + "Keep-Alive: timeout=0\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(testEvent(1)))
+			conn.WriteText(<-next)
 		}
 	})
-	response, err := r.client.Do(r.request("/draft/x", ""))
+	response, err := proxy.client.Do(proxy.request("/draft/x", ""))
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	first := make([]byte, len(testEvent(1)))
@@ -199,7 +203,7 @@
 	next <- lastChunk
 	_, err = response.Body.Read(first)
 	assert.Equal(t, io.EOF, err)
-	assert.Zero(t, r.server.options.Pool.Open())
+	assert.Zero(t, proxy.server.options.Pool.Open())
 }
 
 func TestTimeouts(t *testing.T) {
@@ -215,32 +219,33 @@
 	assert.Equal(t, defaultStreamIdleTimeout, streamIdleTimeout(&routing.Route{Resumable: true}))
 }
 
-// resumeStream returns a script that continues after the last event that the request names.
+// resumeStream returns a script that sends the events after the request's Last-Event-Id, up to the given last one.
 func resumeStream(t *testing.T, last int) func(*scriptedendpoint.Conn) {
-	return func(p *scriptedendpoint.Conn) {
-		request := p.ReadRequest()
+	return func(conn *scriptedendpoint.Conn) {
+		request := conn.ReadRequest()
 		if request == nil { // the proxy has abandoned the connection
 			return
 		}
 		after, err := strconv.Atoi(request.Header.Get("Last-Event-Id"))
 		assert.NoError(t, err)
-		p.WriteText(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
+		conn.WriteText(strings.Replace(streamHead, "s1", "s2", 1) + chunk(testEvents(after+1, last)) + lastChunk)
 	}
 }
 
-// brokenStream is an endpoint's response to a stream request that breaks off at a random byte.
+// brokenStream describes a stream that an endpoint sends, and where it breaks off.
 type brokenStream struct {
-	breakAt  int // bytes of events that are sent
-	chunks   int // chunks that they are sent in
-	overlap  int // events before the requested position that are sent again
-	reset    bool
-	complete bool // it doesn't break off
+	breakAt  int  // number of bytes of events that are sent
+	chunks   int  // number of chunks in which they are sent
+	overlap  int  // number of events that are sent again although the request's Last-Event-Id includes them
+	reset    bool // the connection is reset instead of closed
+	complete bool // the stream doesn't break off
 }
 
-// script returns the endpoint's script. It must not generate random values: it runs on another goroutine.
+// script returns the endpoint's script. The script must not draw random values, since it runs on another goroutine than
+// the property test.
 func (f brokenStream) script(total int) func(*scriptedendpoint.Conn) {
-	return func(p *scriptedendpoint.Conn) {
-		request := p.ReadRequest()
+	return func(conn *scriptedendpoint.Conn) {
+		request := conn.ReadRequest()
 		if request == nil { // the proxy has abandoned the connection
 			return
 		}
@@ -249,22 +254,22 @@
 		if !f.complete {
 			text = text[:min(f.breakAt, len(text))]
 		}
-		p.WriteText(streamHead)
+		conn.WriteText(streamHead)
 		for size := max(len(text)/max(f.chunks, 1), 1); len(text) > 0; {
 			end := min(size, len(text))
-			p.WriteText(chunk(text[:end]))
+			conn.WriteText(chunk(text[:end]))
 			text = text[end:]
 		}
 		if f.complete {
-			p.WriteText(lastChunk)
+			conn.WriteText(lastChunk)
 		} else if f.reset {
-			p.Reset()
+			conn.Reset()
 		}
 	}
 }
 
-// TestStream_ResumeProperty: wherever streams break off, the client receives each event once, in order and complete,
-// and the response ends cleanly only if it is complete.
+// TestStream_ResumeProperty: wherever streams break off, the client receives each event at most once, in order and
+// complete, and the response ends cleanly only if it has all events.
 func TestStream_ResumeProperty(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(draw, "events")
@@ -281,21 +286,21 @@
 			clean = clean || run.complete
 			scripts = append(scripts, run.script(total))
 		}
-		r := newTestProxy(t, scripts...)
-		a := r.do(r.request("/chat/x", ""))
+		proxy := newTestProxy(t, scripts...)
+		response := proxy.do(proxy.request("/chat/x", ""))
 		complete := testEvents(1, total)
 		if clean {
-			if a.status != http.StatusOK || a.body != complete || !a.complete {
-				draw.Fatalf("want all of %d events, got %d %t %q", total, a.status, a.complete, a.body)
+			if response.status != http.StatusOK || response.body != complete || !response.complete {
+				draw.Fatalf("want all of %d events, got %d %t %q", total, response.status, response.complete, response.body)
 			}
 			return
 		}
-		if a.status == http.StatusOK {
-			if a.complete {
-				draw.Fatalf("ends cleanly: %q", a.body)
+		if response.status == http.StatusOK {
+			if response.complete {
+				draw.Fatalf("ends cleanly: %q", response.body)
 			}
-			if !strings.HasPrefix(complete, a.body) || a.body != "" && !strings.HasSuffix(a.body, "\n\n") {
-				draw.Fatalf("not a series of complete events: %q", a.body)
+			if !strings.HasPrefix(complete, response.body) || response.body != "" && !strings.HasSuffix(response.body, "\n\n") {
+				draw.Fatalf("not a series of complete events: %q", response.body)
 			}
 		}
 	})
@@ -304,9 +309,9 @@
 // TestStream_WithoutEventIDsIsNotResumed: without IDs there is no position to resume from.
 func TestStream_WithoutEventIDsIsNotResumed(t *testing.T) {
 	const event = "data: piece\n\n"
-	r := newTestProxy(t, respondAndClose(streamHead+chunk(event)), respondWith(streamHead+chunk(event+event)+lastChunk))
-	a := r.do(r.request("/chat/x", ""))
-	assert.Equal(t, event, a.body)
-	assert.False(t, a.complete)
-	assert.Equal(t, []attempt.Outcome{attempt.Broken}, r.picker.recordedOutcomes())
+	proxy := newTestProxy(t, respondAndClose(streamHead+chunk(event)), respondWith(streamHead+chunk(event+event)+lastChunk))
+	response := proxy.do(proxy.request("/chat/x", ""))
+	assert.Equal(t, event, response.body)
+	assert.False(t, response.complete)
+	assert.Equal(t, []attempt.Outcome{attempt.Broken}, proxy.picker.recordedOutcomes())
 }
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -73,7 +73,7 @@
 	assert.Len(t, view.endpoints, 1)
 }
 
-// fakeAgent responds to polls from a queue and records the requests.
+// fakeAgent responds to polls with the responses that tests send to a channel, and records the requests.
 type fakeAgent struct {
 	responses chan *subscription.Response
 	requests  chan subscription.Request
@@ -89,7 +89,7 @@
 	}
 }
 
-// freePort returns a free port whose next port, at which a proxy polls its agent, is free too.
+// freePort returns a free port. The next port, at which a proxy polls its agent, is free too.
 func freePort(t *testing.T) int {
 	for range 100 {
 		first, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -108,13 +108,13 @@
 
 func loopbackAddress(port int) string { return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)) }
 
-// uniqueLoopbackHost returns a loopback address that, very probably, no other test uses: the agent's port follows from
-// another one, and the port next to a free one may be in use.
+// uniqueLoopbackHost returns a loopback address that very probably no other test uses. On a shared address, finding a
+// free port isn't enough: the agent's port follows from another one, and the port next to a free one may be in use.
 func uniqueLoopbackHost() string {
 	return fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(180), 1+rand.IntN(250))
 }
 
-// startAgent listens where the proxy polls its agent.
+// startAgent starts a fake agent at the address at which the proxy polls its agent.
 func startAgent(t *testing.T, address string) *fakeAgent {
 	a := &fakeAgent{responses: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
 	mux := http.NewServeMux()
@@ -127,7 +127,7 @@
 	return a
 }
 
-// TestRun_FromStartToGracefulShutdown starts a proxy with an agent, has it serve, and shuts it down.
+// TestRun_FromStartToGracefulShutdown starts a proxy with an agent, sends a request through it, and shuts it down.
 func TestRun_FromStartToGracefulShutdown(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
@@ -199,46 +199,46 @@
 	return fetchResult{response.StatusCode, string(body)}
 }
 
-// TestAgentPoller_ReconnectsWithItsState: the poller polls again, with its pending observations, until the agent
-// responds.
+// TestAgentPoller_ReconnectsWithItsState: while the agent is unreachable, the poller retains its pending observations.
+// It reports them once the agent responds.
 func TestAgentPoller_ReconnectsWithItsState(t *testing.T) {
 	address := loopbackAddress(freePort(t))
 	log := zerolog.Nop()
-	taken := make(chan *subscription.Response, 10)
-	w := &agentPoller{
+	applied := make(chan *subscription.Response, 10)
+	poller := &agentPoller{
 		rolloutReports: func() []state.RolloutReport { return nil },
 		client:         rpc.NewClient(), address: address, clientAddress: "f", log: &log,
 		apply: func(r *subscription.Response) (subscription.Cursor, state.MemberState) {
-			taken <- r
+			applied <- r
 			return r.Cursor, state.MemberReady
 		},
 		takeObservations: func() []state.Observation { return nil },
 	}
 	observed := []state.Observation{{EndpointID: "i-1", Failures: 1}}
-	w.pending = observed
-	_, interrupted, err := w.poll(context.Background())
+	poller.pending = observed
+	_, interrupted, err := poller.poll(context.Background())
 	require.Error(t, err)
 	assert.False(t, interrupted)
-	assert.Equal(t, observed, w.pending, "unreported observations are retained")
+	assert.Equal(t, observed, poller.pending, "unreported observations are retained")
 
 	agent := startAgent(t, address)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		w.run(ctx)
+		poller.run(ctx)
 		close(done)
 	}()
 	first := <-agent.requests
 	assert.Equal(t, observed, first.Observations)
 	agent.responses <- &subscription.Response{Cursor: subscription.Cursor{Incarnation: 1, Position: 2}}
-	<-taken
+	<-applied
 	next := <-agent.requests
 	assert.Empty(t, next.Observations)
 	assert.Equal(t, state.MemberReady, next.State)
-	w.announceLeaving()
+	poller.announceLeaving()
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State)
 	agent.responses <- &subscription.Response{}
-	<-taken
+	<-applied
 	assert.Equal(t, state.MemberLeaving, (<-agent.requests).State, "the state never reverts")
 	stop()
 	<-done
--- a/serving/proxy/settings_test.go
+++ b/serving/proxy/settings_test.go
@@ -20,13 +20,13 @@
 	p := newProxy(&settings.Process{NodeName: "n", Zone: "z", Region: "r", Bounds: bounds}, &log)
 	route := &routing.Route{Kind: routing.KindIdempotent, MaxAttempts: 3}
 	later := time.Now().Add(time.Minute)
-	repeats := func() bool {
+	mayRetry := func() bool {
 		return p.retry.Decide(later, retry.FailedAttempt{Route: route, Service: "s", Outcome: attempt.Rejected, CountedAttempts: 1, SentAttempts: 1,
 			TimeLeft: time.Minute}).Retry
 	}
-	assert.False(t, repeats(), "no repeat is allowed")
+	assert.False(t, mayRetry(), "the bounds allow no retry")
 	bounds.Grace, bounds.RetrySlack = 2*time.Second, 100
 	p.applySettings(&settings.Process{Bounds: bounds})
-	assert.True(t, repeats())
+	assert.True(t, mayRetry())
 	assert.EqualValues(t, 2*time.Second, p.drainGrace.Load())
 }
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -17,13 +17,13 @@
 
 func TestDo_RequestArrivesUnchanged(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		for r := p.ReadRequest(); r != nil; r = p.ReadRequest() {
-			got <- r
-			p.WriteText(okResponse)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		for request := conn.ReadRequest(); request != nil; request = conn.ReadRequest() {
+			got <- request
+			conn.WriteText(okResponse)
 		}
 	})
-	call := newCall(e.Address())
+	call := newCall(endpoint.Address())
 	call.Priority, call.LastEventID = "3", "17"
 	call.Header.Set("Priority", "9")
 	call.Header.Set("Last-Event-Id", "1")
@@ -34,35 +34,35 @@
 	assert.Equal(t, "body", body)
 	assert.Equal(t, "s", response.Header.Get("X-Postmark"))
 
-	r := <-got
-	assert.Equal(t, call.RequestTarget, r.RequestURI)
-	assert.Equal(t, "host.example", r.Host)
-	assert.Equal(t, []string{"i-1"}, r.Header["X-Deliver-To"])
-	assert.Equal(t, []string{"3"}, r.Header["Priority"])
-	assert.Equal(t, []string{"17"}, r.Header["Last-Event-Id"])
-	assert.Equal(t, []string{"a1"}, r.Header["X-Attempt-Id"])
-	left, err := strconv.Atoi(r.Header.Get("X-Time-Left"))
+	request := <-got
+	assert.Equal(t, call.RequestTarget, request.RequestURI)
+	assert.Equal(t, "host.example", request.Host)
+	assert.Equal(t, []string{"i-1"}, request.Header["X-Deliver-To"])
+	assert.Equal(t, []string{"3"}, request.Header["Priority"])
+	assert.Equal(t, []string{"17"}, request.Header["Last-Event-Id"])
+	assert.Equal(t, []string{"a1"}, request.Header["X-Attempt-Id"])
+	left, err := strconv.Atoi(request.Header.Get("X-Time-Left"))
 	require.NoError(t, err)
 	assert.InDelta(t, 60000, left, 5000)
-	sent, err := io.ReadAll(r.Body)
+	sent, err := io.ReadAll(request.Body)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(sent))
-	assert.Equal(t, "9", call.Header.Get("Priority"), "the caller's headers stay as they are")
+	assert.Equal(t, "9", call.Header.Get("Priority"), "the caller's headers are not modified")
 }
 
 func TestPool_ReusesConnections(t *testing.T) {
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		for p.ReadRequest() != nil {
-			p.WriteText(okResponse)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		for conn.ReadRequest() != nil {
+			conn.WriteText(okResponse)
 		}
 	})
 	pool := New(testOptions)
 	for range 5 {
-		_, body, failure := doCall(t, pool, newCall(e.Address()))
+		_, body, failure := doCall(t, pool, newCall(endpoint.Address()))
 		require.Nil(t, failure)
 		assert.Equal(t, "body", body)
 	}
-	assert.EqualValues(t, 1, e.Connections())
+	assert.EqualValues(t, 1, endpoint.Connections())
 	assert.Equal(t, 1, pool.Open())
 	pool.Sweep(time.Now())
 	assert.Equal(t, 1, pool.Open())
@@ -70,7 +70,7 @@
 	assert.Zero(t, pool.Open())
 }
 
-// TestPool_DoesNotReuseAfter: after each of these responses the next request uses another connection.
+// TestPool_DoesNotReuseAfter: after each of these responses, the next request uses a new connection.
 func TestPool_DoesNotReuseAfter(t *testing.T) {
 	surplus := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a0\r\nX-Postmark: s\r\nContent-Length: 3\r\n\r\nold"
 	for name, sent := range map[string]string{
@@ -84,24 +84,24 @@
 		"surplus rejection": "HTTP/1.1 503 No\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a0\r\nContent-Length: 0\r\n\r\n" + okResponse,
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-				if p.ReadRequest() == nil {
+			endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+				if conn.ReadRequest() == nil {
 					return
 				}
-				if p.Number == 0 {
-					p.WriteText(sent)
+				if conn.Number == 0 {
+					conn.WriteText(sent)
 				} else {
-					p.WriteText(okResponse)
+					conn.WriteText(okResponse)
 				}
-				p.ReadToEnd()
+				conn.ReadToEnd()
 			})
 			pool := New(testOptions)
 			for range 2 {
-				_, body, failure := doCall(t, pool, newCall(e.Address()))
+				_, body, failure := doCall(t, pool, newCall(endpoint.Address()))
 				require.Nil(t, failure)
 				assert.Equal(t, "body", body)
 			}
-			assert.EqualValues(t, 2, e.Connections())
+			assert.EqualValues(t, 2, endpoint.Connections())
 		})
 	}
 }
@@ -110,20 +110,20 @@
 // was sent.
 func TestPool_LateForeignResponse(t *testing.T) {
 	late := make(chan struct{})
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
-		p.WriteText(okResponse)
-		if p.ReadRequest() == nil {
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
+		conn.WriteText(okResponse)
+		if conn.ReadRequest() == nil {
 			return
 		}
 		close(late)
-		p.WriteText(okResponse + strings.ReplaceAll(strings.ReplaceAll(okResponse, "a1", "a2"), "body", "next"))
-		p.ReadToEnd()
+		conn.WriteText(okResponse + strings.ReplaceAll(strings.ReplaceAll(okResponse, "a1", "a2"), "body", "next"))
+		conn.ReadToEnd()
 	})
 	pool := New(testOptions)
-	_, _, failure := doCall(t, pool, newCall(e.Address()))
+	_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 	require.Nil(t, failure)
-	second := newCall(e.Address())
+	second := newCall(endpoint.Address())
 	second.Header.Set("X-Attempt-Id", "a2")
 	_, body, failure := doCall(t, pool, second)
 	<-late
@@ -133,63 +133,63 @@
 }
 
 // TestDo_ResentRequestUsesNewConnection: an endpoint that rejected a request may repeat the rejection late, while it
-// runs the resent request. Taken for the response to that one, the rejection would wrongly promise that the request has
-// not run.
+// runs the resent request. If the rejection were taken for the response to the resent request, it would wrongly imply
+// that the request has not run.
 func TestDo_ResentRequestUsesNewConnection(t *testing.T) {
 	const rejection = "HTTP/1.1 503 Full\r\nX-Not-Delivered: 1\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n"
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		for p.ReadRequest() != nil {
-			if p.Number == 0 {
-				p.WriteText(rejection)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		for conn.ReadRequest() != nil {
+			if conn.Number == 0 {
+				conn.WriteText(rejection)
 			} else {
-				p.WriteText(okResponse)
+				conn.WriteText(okResponse)
 			}
 		}
 	})
 	pool := New(testOptions)
-	_, _, failure := doCall(t, pool, newCall(e.Address()))
+	_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 	require.NotNil(t, failure)
 	require.Equal(t, attempt.Rejected, failure.Outcome)
 
-	resent := newCall(e.Address())
+	resent := newCall(endpoint.Address())
 	resent.Resent = true
 	resent.MaxConnections = 1
 	_, body, failure := doCall(t, pool, resent)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
-	assert.EqualValues(t, 2, e.Connections())
+	assert.EqualValues(t, 2, endpoint.Connections())
 	assert.Equal(t, 1, pool.Open(), "the connection of the first attempt is replaced")
 }
 
 func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
 	for name, end := range map[string]func(*scriptedendpoint.Conn){
-		"closed":      func(p *scriptedendpoint.Conn) { _ = p.Close() },
-		"reset":       func(p *scriptedendpoint.Conn) { p.Reset() },
-		"unsolicited": func(p *scriptedendpoint.Conn) { p.WriteText("HTTP/1.1 200 OK\r\n\r\n") },
+		"closed":      func(conn *scriptedendpoint.Conn) { _ = conn.Close() },
+		"reset":       func(conn *scriptedendpoint.Conn) { conn.Reset() },
+		"unsolicited": func(conn *scriptedendpoint.Conn) { conn.WriteText("HTTP/1.1 200 OK\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			responded, ended := make(chan struct{}), make(chan struct{})
-			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-				if p.ReadRequest() == nil {
+			endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+				if conn.ReadRequest() == nil {
 					return
 				}
-				p.WriteText(okResponse)
-				if p.Number == 0 {
+				conn.WriteText(okResponse)
+				if conn.Number == 0 {
 					<-responded
-					end(p)
+					end(conn)
 					close(ended)
 				}
-				p.ReadToEnd()
+				conn.ReadToEnd()
 			})
 			pool := New(testOptions)
-			_, _, failure := doCall(t, pool, newCall(e.Address()))
+			_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 			require.Nil(t, failure)
 			close(responded)
 			<-ended
-			_, body, failure := doCall(t, pool, newCall(e.Address()))
+			_, body, failure := doCall(t, pool, newCall(endpoint.Address()))
 			require.Nil(t, failure)
 			assert.Equal(t, "body", body)
-			assert.EqualValues(t, 2, e.Connections())
+			assert.EqualValues(t, 2, endpoint.Connections())
 		})
 	}
 }
@@ -202,22 +202,22 @@
 		"HTTP/1.1 400 What\r\nX-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n":                     attempt.Rejected,
 		"HTTP/1.1 421 Other\r\nX-Endpoint-Id: i-2\r\nContent-Length: 0\r\n\r\n":                    attempt.Misdirected,
 	} {
-		e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-			for p.ReadRequest() != nil {
-				p.WriteText(sent)
+		endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+			for conn.ReadRequest() != nil {
+				conn.WriteText(sent)
 			}
 		})
 		pool := New(testOptions)
 		for range 2 {
-			_, _, failure := doCall(t, pool, newCall(e.Address()))
+			_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 			require.NotNil(t, failure)
 			assert.Equal(t, want, failure.Outcome)
 			assert.NoError(t, failure.Cause)
 		}
 		if strings.Contains(sent, "a1") {
-			assert.EqualValues(t, 1, e.Connections(), "after a rejection with an ID its connection is reusable")
+			assert.EqualValues(t, 1, endpoint.Connections(), "after a rejection with an attempt ID, the connection is reused")
 		} else {
-			assert.EqualValues(t, 2, e.Connections())
+			assert.EqualValues(t, 2, endpoint.Connections())
 		}
 	}
 }
@@ -227,65 +227,65 @@
 func TestDo_ResponseBeforeBodyIsSent(t *testing.T) {
 	rest := make(chan int64, 1)
 	responded := make(chan struct{})
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		if p.Number > 0 {
-			p.ReadRequest()
-			p.WriteText(okResponse)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		if conn.Number > 0 {
+			conn.ReadRequest()
+			conn.WriteText(okResponse)
 			return
 		}
-		_, err := http.ReadRequest(p.Reader)
+		_, err := http.ReadRequest(conn.Reader)
 		if err != nil {
 			return
 		}
-		p.WriteText(okResponse)
+		conn.WriteText(okResponse)
 		<-responded
-		n, _ := io.Copy(io.Discard, p.Reader)
+		n, _ := io.Copy(io.Discard, conn.Reader)
 		rest <- n
 	})
 	pool := New(testOptions)
-	call := newCall(e.Address())
-	call.Body = make([]byte, 32<<20) // more than the sockets' buffers take
+	call := newCall(endpoint.Address())
+	call.Body = make([]byte, 32<<20) // more than the socket buffers can hold
 	_, body, failure := doCall(t, pool, call)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.Zero(t, pool.Open())
 	close(responded)
 	assert.Less(t, <-rest, int64(len(call.Body)))
-	_, _, failure = doCall(t, pool, newCall(e.Address()))
+	_, _, failure = doCall(t, pool, newCall(endpoint.Address()))
 	require.Nil(t, failure)
 }
 
 func TestDo_LongBody(t *testing.T) {
 	got := make(chan int, 2)
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		for r := p.ReadRequest(); r != nil; r = p.ReadRequest() {
-			body, _ := io.ReadAll(r.Body)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		for request := conn.ReadRequest(); request != nil; request = conn.ReadRequest() {
+			body, _ := io.ReadAll(request.Body)
 			got <- len(body)
-			p.WriteText(okResponse)
+			conn.WriteText(okResponse)
 		}
 	})
 	pool := New(testOptions)
 	for range 2 {
-		call := newCall(e.Address())
+		call := newCall(endpoint.Address())
 		call.Body = make([]byte, 4<<20)
 		_, _, failure := doCall(t, pool, call)
 		require.Nil(t, failure)
 		assert.Equal(t, 4<<20, <-got)
 	}
-	assert.EqualValues(t, 1, e.Connections())
+	assert.EqualValues(t, 1, endpoint.Connections())
 }
 
-// TestDo_SendsTimeLeft: the endpoint receives the time left now, not what the client stated, and never more than until
-// the deadline.
+// TestDo_SendsTimeLeft: the endpoint receives the time that is left until the deadline when the request is sent, and
+// not the value of the client's header.
 func TestDo_SendsTimeLeft(t *testing.T) {
 	received := make(chan []string, 1)
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		if request := p.ReadRequest(); request != nil {
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		if request := conn.ReadRequest(); request != nil {
 			received <- request.Header.Values("X-Time-Left")
-			p.WriteText(okResponse)
+			conn.WriteText(okResponse)
 		}
 	})
-	call := newCall(e.Address())
+	call := newCall(endpoint.Address())
 	call.Header.Set("X-Time-Left", "60000")
 	call.Deadline = time.Now().Add(20 * time.Second)
 	_, _, failure := doCall(t, New(Options{}), call)
@@ -298,7 +298,8 @@
 	assert.Positive(t, left)
 }
 
-// TestDialer_MinRoundTrip: a connection that roundTrip long to establish is a poor measure of the path's latency.
+// TestDialer_MinRoundTrip: a single connection that takes long to establish hardly raises the minimum, since its
+// duration says little about the path's latency. If all connections take longer, the minimum follows.
 func TestDialer_MinRoundTrip(t *testing.T) {
 	d := newDialer(defaultConnectTimeout, defaultAckTimeout)
 	for _, roundTrip := range []time.Duration{80, 75, 900, 70, 76} {
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/attempt"
 )
 
-// scriptedConn is a connection on which an endpoint has sent data and then closed it.
+// scriptedConn is a connection on which an endpoint has sent data, and which the endpoint has then closed.
 type scriptedConn struct {
 	net.Conn
 	data *bytes.Reader
@@ -25,7 +25,8 @@
 func (s *scriptedConn) Read(p []byte) (int, error) { return s.data.Read(p) }
 func (s *scriptedConn) Close() error               { return nil }
 
-// readScriptedResponse reads a response to the attempt a1 as a call does. It reports whether the body was complete.
+// readScriptedResponse reads a response to attempt a1 in the same way as Pool.Do and its caller. It returns nil if
+// there is no valid response, and whether the body was complete.
 func readScriptedResponse(t *testing.T, sent []byte) (response *Response, body []byte, complete bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -40,8 +41,9 @@
 	return response, body, err == nil
 }
 
-// FuzzResponse: a success is the endpoint's own response to this request, unencoded and stamped, and data that looks
-// complete when it is truncated looks the same when it isn't.
+// FuzzResponse: a response with the outcome Succeeded belongs to this request, is not encoded and, if its status is 2xx,
+// carries the endpoint's stamp. If the beginning of the data yields a complete response, the whole data yields the same
+// one.
 func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n"
 	f.Add([]byte(head+"Keep-Alive: timeout=5\r\nContent-Length: 4\r\n\r\nbody"), uint16(3))
@@ -62,7 +64,7 @@
 		if early == nil || !seemsComplete || early.Length < 0 && len(early.httpResponse.TransferEncoding) == 0 {
 			return // a body that ends with the connection can't be distinguished from a truncated one
 		}
-		require.NotNil(t, response, "complete when truncated, but no response when not")
+		require.NotNil(t, response, "the truncated data yields a complete response, the whole data none")
 		assert.Equal(t, early.Status, response.Status)
 		assert.Equal(t, partial, body)
 		assert.True(t, complete)
@@ -88,7 +90,7 @@
 	}
 }
 
-// FuzzParseIdleTimeout: whatever an endpoint states, the time-out doesn't overflow.
+// FuzzParseIdleTimeout: whatever timeout an endpoint announces, the result doesn't overflow.
 func FuzzParseIdleTimeout(f *testing.F) {
 	for _, sent := range []string{"timeout=5", "timeout=5, max=3", "max=1,TIMEOUT=0", "timeout=-1", "timeout=9223372036854775807",
 		"timeout=99999999999", "timeout="} {
--- a/serving/upstream/helpers_test.go
+++ b/serving/upstream/helpers_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newCall returns a call to an endpoint with attempt ID "a1" and a minute left.
+// newCall returns a call to an endpoint with attempt ID "a1" and a deadline in a minute.
 func newCall(address string) *Call {
 	return &Call{
 		EndpointID:    "i-1",
@@ -42,7 +42,8 @@
 	return response, string(body), nil
 }
 
-// testOptions leaves time for connecting on a busy test machine; tests of responses aren't about connecting.
+// testOptions has a long timeout, so that connecting succeeds even on a busy test machine: tests of responses are not
+// about connecting.
 var testOptions = Options{ConnectTimeout: 10 * time.Second}
 
 const okResponse = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nContent-Length: 4\r\n\r\nbody"
--- a/serving/upstream/response_test.go
+++ b/serving/upstream/response_test.go
@@ -13,22 +13,22 @@
 	"rowanlink/test/fake/scriptedendpoint"
 )
 
-// TestResponse_BrokenAfterEachByte breaks a response off after each of its bytes in turn: only the complete one
-// succeeds.
+// TestResponse_BrokenAfterEachByte breaks a response off after each of its bytes except the last one. The outcome is
+// Broken in every case.
 func TestResponse_BrokenAfterEachByte(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\nTransfer-Encoding: chunked\r\n\r\n" +
 		"3\r\nabc\r\n1\r\nd\r\n0\r\n\r\n"
 	for name, text := range map[string]string{"length": okResponse, "chunked": chunked} {
 		for length := range len(text) {
 			for _, reset := range []bool{false, true} {
-				e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-					p.ReadRequest()
-					p.WriteText(text[:length])
+				endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+					conn.ReadRequest()
+					conn.WriteText(text[:length])
 					if reset {
-						p.Reset()
+						conn.Reset()
 					}
 				})
-				_, _, failure := doCall(t, New(testOptions), newCall(e.Address()))
+				_, _, failure := doCall(t, New(testOptions), newCall(endpoint.Address()))
 				if assert.NotNil(t, failure, "%s, %d bytes", name, length) {
 					assert.Equal(t, attempt.Broken, failure.Outcome, "%s, %d bytes", name, length)
 				}
@@ -52,12 +52,12 @@
 		"interim only":       strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 20),
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-				p.ReadRequest()
-				p.WriteText(sent)
+			endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+				conn.ReadRequest()
+				conn.WriteText(sent)
 			})
 			pool := New(testOptions)
-			_, _, failure := doCall(t, pool, newCall(e.Address()))
+			_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 			require.NotNil(t, failure)
 			assert.Equal(t, attempt.Broken, failure.Outcome)
 			assert.Zero(t, pool.Open())
@@ -66,30 +66,30 @@
 }
 
 func TestResponse_InterimIsSkipped(t *testing.T) {
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		for p.ReadRequest() != nil {
-			p.WriteText("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okResponse)
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		for conn.ReadRequest() != nil {
+			conn.WriteText("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + okResponse)
 		}
 	})
-	_, body, failure := doCall(t, New(testOptions), newCall(e.Address()))
+	_, body, failure := doCall(t, New(testOptions), newCall(endpoint.Address()))
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 }
 
-// TestResponse_WithoutLength: such a response ends with its connection. It is complete if that was closed, and broken
-// if it was reset.
+// TestResponse_WithoutLength: a response of unknown length ends with its connection. It is complete if the connection
+// is closed, and broken if the connection is reset.
 func TestResponse_WithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		read := make(chan struct{})
-		e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-			p.ReadRequest()
-			p.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
+		endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+			conn.ReadRequest()
+			conn.WriteText("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n\r\nbody")
 			if reset {
-				<-read // a reset may overtake what was not read
-				p.Reset()
+				<-read // data that was not read before a reset may be lost
+				conn.Reset()
 			}
 		})
-		response, failure := New(testOptions).Do(context.Background(), newCall(e.Address()))
+		response, failure := New(testOptions).Do(context.Background(), newCall(endpoint.Address()))
 		require.Nil(t, failure)
 		first := make([]byte, 4)
 		_, err := io.ReadFull(response, first)
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -28,13 +28,13 @@
 }
 
 func TestDo_ConnectionLimits(t *testing.T) {
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
-		p.WriteText(okResponse)
-		p.ReadToEnd()
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
+		conn.WriteText(okResponse)
+		conn.ReadToEnd()
 	})
 	pool := New(Options{MaxOpen: 2})
-	call := newCall(e.Address())
+	call := newCall(endpoint.Address())
 	call.MaxConnections = 1
 	pending, failure := pool.Do(context.Background(), call)
 	require.Nil(t, failure)
@@ -43,14 +43,14 @@
 	assert.Equal(t, attempt.AtLimit, failure.Outcome)
 	assert.True(t, failure.Outcome.NeverRan(), "it may be retried")
 
-	other := newCall(e.Address())
+	other := newCall(endpoint.Address())
 	other.EndpointID = "i-2"
 	_, _, failure = doCall(t, pool, other)
 	require.Nil(t, failure, "another endpoint has its own limit")
-	third := newCall(e.Address())
+	third := newCall(endpoint.Address())
 	third.EndpointID = "i-3"
 	_, _, failure = doCall(t, pool, third)
-	require.Nil(t, failure, "an idle connection is closed instead")
+	require.Nil(t, failure, "an idle connection to another endpoint is closed to stay within the limit")
 	assert.Equal(t, 2, pool.Open())
 	pending.Close()
 }
@@ -60,17 +60,17 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			closed := make(chan struct{})
-			e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-				p.ReadRequest()
-				p.WriteText(sent)
+			endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+				conn.ReadRequest()
+				conn.WriteText(sent)
 				if sent == "" {
 					cancel()
 				}
-				p.ReadToEnd()
+				conn.ReadToEnd()
 				close(closed)
 			})
 			pool := New(testOptions)
-			response, failure := pool.Do(ctx, newCall(e.Address()))
+			response, failure := pool.Do(ctx, newCall(endpoint.Address()))
 			if sent != "" {
 				require.Nil(t, failure)
 				cancel()
@@ -85,8 +85,8 @@
 }
 
 func TestDo_Deadline(t *testing.T) {
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
-	call := newCall(e.Address())
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) { conn.ReadToEnd() })
+	call := newCall(endpoint.Address())
 	call.Deadline = time.Now().Add(20 * time.Millisecond)
 	_, failure := New(testOptions).Do(context.Background(), call)
 	require.NotNil(t, failure)
@@ -96,13 +96,13 @@
 
 func TestDo_ProgressTimeout(t *testing.T) {
 	release := make(chan struct{})
-	e := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) {
-		p.ReadRequest()
+	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
+		conn.ReadRequest()
 		<-release
-		p.WriteText(okResponse)
-		p.ReadToEnd()
+		conn.WriteText(okResponse)
+		conn.ReadToEnd()
 	})
-	call := newCall(e.Address())
+	call := newCall(endpoint.Address())
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool {
 		close(release)
@@ -112,7 +112,7 @@
 	require.Nil(t, failure, "the caller continues to wait")
 	assert.Equal(t, "body", body)
 
-	unresponsive := scriptedendpoint.Start(t, func(p *scriptedendpoint.Conn) { p.ReadToEnd() })
+	unresponsive := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) { conn.ReadToEnd() })
 	call = newCall(unresponsive.Address())
 	call.ProgressTimeout = time.Millisecond
 	call.MayAbandon = func() bool { return true }
