--- a/serving/httpserver/buffered.go
+++ b/serving/httpserver/buffered.go
@@ -67,8 +67,8 @@
 	return attempt.Succeeded, nextDone
 }
 
-// relayUnbuffered relays a response as it arrives, beginning with the part of the body that has been read already. If
-// the response breaks off, the request can't be retried.
+// relayUnbuffered relays a response as it arrives, beginning with the part of the body that has been read already. Once
+// part of the response has been sent, the request can't be retried, so there is no progress timeout.
 func (f *forwarder) relayUnbuffered(response *upstream.Response, alreadyRead []byte) (attempt.Outcome, nextStep) {
 	response.SetProgressTimeout(0)
 	if upstream.ImpliesNotRun(response.Status) {
--- a/serving/httpserver/buffered_test.go
+++ b/serving/httpserver/buffered_test.go
@@ -85,13 +85,13 @@
 	for _, c := range []struct {
 		name       string
 		first      func(*scriptedendpoint.Conn)
-		idempotent int
-		once       int
+		idempotent int // status of a request that may be run more than once
+		once       int // status of a request that may run only once
 		outcome    attempt.Outcome
 	}{
 		{name: "full", first: respondWith(rejectedResponse), idempotent: 200, once: 200, outcome: attempt.Rejected},
 		{name: "other incarnation", first: respondWith(misdirectedResponse), idempotent: 200, once: 200, outcome: attempt.Misdirected},
-		{name: "own error", first: respondWith(serverErrorResponse), idempotent: 200, once: 500, outcome: attempt.Failed},
+		{name: "server error", first: respondWith(serverErrorResponse), idempotent: 200, once: 500, outcome: attempt.Failed},
 		{name: "close without a response", first: respondAndClose(""), idempotent: 200, once: 502, outcome: attempt.Broken},
 		{name: "reset", first: func(conn *scriptedendpoint.Conn) { conn.ReadRequest(); conn.Reset() }, idempotent: 200, once: 502, outcome: attempt.Broken},
 		{name: "truncated head", first: respondAndClose(okHead[:20]), idempotent: 200, once: 502, outcome: attempt.Broken},
--- a/serving/httpserver/connection.go
+++ b/serving/httpserver/connection.go
@@ -20,7 +20,8 @@
 	state     atomic.Int32 // http.ConnState or stateServing
 }
 
-// stateServing is the state of a connection whose request's handler is running: reads have no timeout then.
+// stateServing is the state, in addition to those of net/http, of a connection whose request's handler is running. The
+// timeouts for headers and idle connections don't apply to it.
 const stateServing = http.ConnState(100)
 
 // SetReadDeadline sets the deadline of reads. If net/http clears the deadline, the timeout for the connection's state
--- a/serving/httpserver/event_reader.go
+++ b/serving/httpserver/event_reader.go
@@ -43,6 +43,7 @@
 		if r.readErr != nil {
 			return r.takeRemainder()
 		}
+		// No event ends in the data so far, but its last bytes may be the beginning of a line break that ends an event.
 		searched = max(r.bufferStart, r.bufferEnd-len("\r\n\r"))
 		searched -= r.makeSpace()
 		if r.bufferEnd-r.bufferStart >= maxEventSize {
--- a/serving/httpserver/request.go
+++ b/serving/httpserver/request.go
@@ -22,7 +22,7 @@
 	arrivedAt   time.Time
 	deadline    time.Time // the earlier one of the client's and the route's
 	body        []byte
-	hasBody     bool // the client sent a body, which may be empty
+	hasBody     bool // a Content-Length is sent to the endpoint even if the body is empty
 	placement   placement.Request
 }
 
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -123,11 +123,11 @@
 // findLastEventID returns the last ID among events.
 func findLastEventID(events []byte) (id string, found bool) {
 	for end := len(events); end > 0; {
-		begin := lastEventEnd(events[:end-1], 0)
-		if id, found := eventID(events[begin:end]); found {
+		start := lastEventEnd(events[:end-1], 0) // the end of the event before
+		if id, found := eventID(events[start:end]); found {
 			return id, true
 		}
-		end = begin
+		end = start
 	}
 	return "", false
 }
--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -115,7 +115,7 @@
 
 func TestStream_NoEndpointResumes(t *testing.T) {
 	for name, second := range map[string]func(*scriptedendpoint.Conn){
-		"full": respondWith(rejectedResponse), "own error": respondWith(serverErrorResponse), "no stream": respondWith(okResponse), "break": respondAndClose(""),
+		"full": respondWith(rejectedResponse), "server error": respondWith(serverErrorResponse), "no stream": respondWith(okResponse), "break": respondAndClose(""),
 	} {
 		t.Run(name, func(t *testing.T) {
 			proxy := newTestProxy(t, respondAndClose(streamHead+chunk(testEvent(1))), second)
@@ -274,23 +274,23 @@
 	rapid.Check(t, func(draw *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(draw, "events")
 		var scripts []func(*scriptedendpoint.Conn)
-		clean := false
+		anyComplete := false
 		for range rapid.IntRange(1, 6).Draw(draw, "attempts") {
-			run := brokenStream{
+			stream := brokenStream{
 				breakAt:  rapid.IntRange(0, 40*total).Draw(draw, "breakAt"),
 				chunks:   rapid.IntRange(1, 20).Draw(draw, "chunks"),
 				overlap:  rapid.IntRange(0, 3).Draw(draw, "overlap"),
 				reset:    rapid.Bool().Draw(draw, "reset"),
 				complete: rapid.IntRange(0, 3).Draw(draw, "complete") == 0,
 			}
-			clean = clean || run.complete
-			scripts = append(scripts, run.script(total))
+			anyComplete = anyComplete || stream.complete
+			scripts = append(scripts, stream.script(total))
 		}
 		proxy := newTestProxy(t, scripts...)
 		response := proxy.do(proxy.request("/chat/x", ""))
-		complete := testEvents(1, total)
-		if clean {
-			if response.status != http.StatusOK || response.body != complete || !response.complete {
+		allEvents := testEvents(1, total)
+		if anyComplete {
+			if response.status != http.StatusOK || response.body != allEvents || !response.complete {
 				draw.Fatalf("want all of %d events, got %d %t %q", total, response.status, response.complete, response.body)
 			}
 			return
@@ -299,7 +299,7 @@
 			if response.complete {
 				draw.Fatalf("ends cleanly: %q", response.body)
 			}
-			if !strings.HasPrefix(complete, response.body) || response.body != "" && !strings.HasSuffix(response.body, "\n\n") {
+			if !strings.HasPrefix(allEvents, response.body) || response.body != "" && !strings.HasSuffix(response.body, "\n\n") {
 				draw.Fatalf("not a series of complete events: %q", response.body)
 			}
 		}
--- a/serving/httpserver/timeouts.go
+++ b/serving/httpserver/timeouts.go
@@ -11,8 +11,8 @@
 const (
 	// expectedFactor is multiplied by the expected time to first byte.
 	expectedFactor = 3
-	// targetDivisor divides the latency target, for services whose runs are short and cheap: the next endpoint may
-	// still respond within the target.
+	// targetDivisor divides the latency target, for services whose requests are short and cheap to run: the next
+	// endpoint may still respond within the target.
 	targetDivisor = 2
 	// llmTargetFactor is multiplied by the latency target, for language models: the prefill of an abandoned attempt is
 	// wasted and delays all other requests, and after the target the response is late whichever endpoint sends it.
--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -38,15 +38,15 @@
 // agentPoller polls the agent for the state of the cluster, and reports the proxy's state and observations to it.
 type agentPoller struct {
 	client           *rpc.Client
-	address          string
-	clientAddress    string
+	address          string // of the agent
+	clientAddress    string // at which this proxy serves clients
 	log              *zerolog.Logger
 	apply            func(*subscription.Response) (subscription.Cursor, state.MemberState)
 	takeObservations func() []state.Observation
 	rolloutReports   func() []state.RolloutReport
 
-	incarnation  uint64
-	cursor       subscription.Cursor
+	incarnation  uint64              // random number that identifies this run of the proxy
+	cursor       subscription.Cursor // position up to which updates have been applied
 	pending      []state.Observation // observations that have not been reported yet
 	disconnected bool                // the last poll failed
 
@@ -58,13 +58,13 @@
 // run polls until the context ends.
 func (a *agentPoller) run(ctx context.Context) {
 	a.incarnation = rand.Uint64()
-	reconnect := minReconnectDelay
+	reconnectDelay := minReconnectDelay
 	for ctx.Err() == nil {
 		response, interrupted, err := a.poll(ctx)
 		switch {
 		case err == nil:
 			a.logConnectionRestored()
-			reconnect = minReconnectDelay
+			reconnectDelay = minReconnectDelay
 			startedAt := time.Now()
 			cursor, memberState := a.apply(response)
 			a.cursor = cursor
@@ -73,8 +73,8 @@
 		case interrupted: // poll again at once
 		default:
 			a.logConnectionLost(ctx, err)
-			ctxsleep.Sleep(ctx, reconnect)
-			reconnect = min(2*reconnect, maxReconnectDelay)
+			ctxsleep.Sleep(ctx, reconnectDelay)
+			reconnectDelay = min(2*reconnectDelay, maxReconnectDelay)
 		}
 	}
 }
@@ -85,7 +85,8 @@
 	return min(max(minPollDelay, time.Duration(float64(applyTime)/applyTimeShare)), maxPollDelay)
 }
 
-// poll polls the agent once. If the poll was interrupted by interruptPoll, the error means nothing.
+// poll polls the agent once. It reports whether interruptPoll has interrupted the poll; the error then is only a
+// consequence of that.
 func (a *agentPoller) poll(ctx context.Context) (response *subscription.Response, interrupted bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout(pollWait))
 	defer cancel()
@@ -163,7 +164,7 @@
 	}
 }
 
-// logConnectionRestored logs the first successful poll after failed ones.
+// logConnectionRestored logs a successful poll if the poll before failed.
 func (a *agentPoller) logConnectionRestored() {
 	if a.disconnected {
 		a.disconnected = false
@@ -171,7 +172,7 @@
 	}
 }
 
-// logConnectionLost logs the first one of several failed polls in a row.
+// logConnectionLost logs a failed poll, unless the poll before failed too or the process is shutting down.
 func (a *agentPoller) logConnectionLost(ctx context.Context, err error) {
 	if !a.disconnected && ctx.Err() == nil {
 		a.disconnected = true
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy runs a proxy, the process of the data plane. It gets the state of the cluster from the agent on the
-// same machine and serves clients' requests accordingly (packages httpserver, placement, retry and upstream). If the
-// agent is unreachable, it continues with the last known state.
+// Package proxy runs a proxy, which is the data plane process. A proxy gets the state of the cluster from the agent on
+// the same machine and serves clients' requests accordingly (packages httpserver, placement, retry and upstream). If
+// the agent is unreachable, the proxy continues with the last known state.
 package proxy
 
 import (
--- a/serving/upstream/call.go
+++ b/serving/upstream/call.go
@@ -11,15 +11,14 @@
 type Call struct {
 	EndpointID string
 	Address    string // host:port
-	Zone       string // of the endpoint; the round trip to it is measured
+	Zone       string // of the endpoint; round trips are measured by zone
 
 	Method        string
 	RequestTarget string // path and query as the client sent them
 	Host          string
 	Header        http.Header // end-to-end headers; not modified
 	Body          []byte      // complete; not modified, and in use until the response is closed
-	// HasBody reports whether the client sent a body, which may be empty. If so, a Content-Length is sent.
-	HasBody bool
+	HasBody       bool        // a Content-Length is sent even if Body is empty
 
 	// Resent reports whether the request was sent to this endpoint before. If so, it is sent on a new connection: a
 	// faulty endpoint may respond to the first attempt a second time, late, and on the connection of the first attempt
@@ -31,7 +30,7 @@
 	Priority       string    // sent as a header; empty: none
 	LastEventID    string    // ID of the event after which a stream is resumed; empty: the one in Header, if any
 
-	// ProgressTimeout is how long the attempt may make no progress before MayAbandon is called; zero: forever.
+	// ProgressTimeout is how long the attempt may make no progress before MayAbandon is called; zero: no limit.
 	ProgressTimeout time.Duration
 	// MayAbandon decides whether the attempt is abandoned. It is called on another goroutine, at most once for each
 	// time that ProgressTimeout expires. If it is nil, there is no progress timeout.
--- a/serving/upstream/classify_test.go
+++ b/serving/upstream/classify_test.go
@@ -28,10 +28,10 @@
 		{name: "success of another request", status: 200, header: stamped, id: other, outcome: attempt.Broken, kind: responseForeign},
 		{name: "encoded", status: 200, header: http.Header{"X-Postmark": {"s"}, "Content-Encoding": {"gzip"}}, id: own, outcome: attempt.Broken, kind: responseInvalid},
 		{name: "identity encoding", status: 200, header: http.Header{"X-Postmark": {"s"}, "Content-Encoding": {"identity"}}, id: own, outcome: attempt.Succeeded, kind: responseMatches},
-		{name: "own error", status: 500, header: bare, id: own, outcome: attempt.Failed, kind: responseMatches},
-		{name: "own time-out", status: 504, header: bare, id: own, outcome: attempt.Failed, kind: responseMatches},
-		{name: "own error without id", status: 500, header: bare, outcome: attempt.Broken, kind: responseInvalid},
-		{name: "own error marked", status: 500, header: marked, id: own, outcome: attempt.Failed, kind: responseMatches},
+		{name: "server error", status: 500, header: bare, id: own, outcome: attempt.Failed, kind: responseMatches},
+		{name: "gateway time-out", status: 504, header: bare, id: own, outcome: attempt.Failed, kind: responseMatches},
+		{name: "server error without id", status: 500, header: bare, outcome: attempt.Broken, kind: responseInvalid},
+		{name: "server error marked", status: 500, header: marked, id: own, outcome: attempt.Failed, kind: responseMatches},
 		{name: "not found", status: 404, header: bare, id: own, outcome: attempt.Succeeded, kind: responseMatches},
 		{name: "full", status: 503, header: marked, id: own, outcome: attempt.Rejected, kind: responseMatches},
 		{name: "full without id", status: 503, header: marked, outcome: attempt.Rejected, kind: responseMatches},
@@ -45,7 +45,7 @@
 		{name: "bad request", status: 400, header: bare, id: own, outcome: attempt.Succeeded, kind: responseMatches},
 		{name: "other incarnation", status: 421, header: bare, outcome: attempt.Misdirected, kind: responseMatches},
 		{name: "other incarnation with id", status: 421, header: bare, id: own, outcome: attempt.Misdirected, kind: responseMatches},
-		{name: "no status", status: 700, header: stamped, id: own, outcome: attempt.Broken, kind: responseInvalid},
+		{name: "invalid status", status: 700, header: stamped, id: own, outcome: attempt.Broken, kind: responseInvalid},
 		{name: "protocol change", status: 101, header: stamped, id: own, outcome: attempt.Broken, kind: responseInvalid},
 	} {
 		header := c.header.Clone()
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -41,9 +41,9 @@
 	return response, body, err == nil
 }
 
-// FuzzResponse: a response with the outcome Succeeded belongs to this request, is not encoded and, if its status is 2xx,
-// carries the endpoint's stamp. If the beginning of the data yields a complete response, the whole data yields the same
-// one.
+// FuzzResponse: a response with the outcome Succeeded belongs to this request, is not encoded and, if its status is
+// 2xx, carries the endpoint's stamp. If the beginning of the data yields a complete response, the whole data yields the
+// same one.
 func FuzzResponse(f *testing.F) {
 	head := "HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Postmark: s\r\n"
 	f.Add([]byte(head+"Keep-Alive: timeout=5\r\nContent-Length: 4\r\n\r\nbody"), uint16(3))
--- a/serving/upstream/response.go
+++ b/serving/upstream/response.go
@@ -26,7 +26,7 @@
 	watchdog       watchdog
 	ctx            context.Context
 	cancel         context.CancelFunc
-	stopCancelHook func() bool
+	stopCancelHook func() bool // keeps the context's end from closing the connection; false: that has happened already
 
 	httpResponse   *http.Response
 	bodyWritten    chan error    // receives the result of writeBody; nil: no such goroutine, or its result was received
@@ -67,10 +67,10 @@
 	}
 	r.closed = true
 	r.drainBuffered()
-	alive := r.watchdog.arm(0)
-	alive = r.stopCancelHook() && alive
+	stillOpen := r.watchdog.arm(0)
+	stillOpen = r.stopCancelHook() && stillOpen
 	r.cancel()
-	reusable := alive && r.bodyRead && r.isRequestWritten() && !r.notReusable && r.connection.reader.Buffered() == 0
+	reusable := stillOpen && r.bodyRead && r.isRequestWritten() && !r.notReusable && r.connection.reader.Buffered() == 0
 	if reusable {
 		r.pool.putIdle(r.call.EndpointID, r.connection, r.idleTimeout)
 		return
