--- a/serving/httpserver/stream_test.go
+++ b/serving/httpserver/stream_test.go
@@ -203,7 +203,7 @@
 	next <- lastChunk
 	_, err = response.Body.Read(first)
 	assert.Equal(t, io.EOF, err)
-	assert.Zero(t, proxy.server.options.Pool.Open())
+	assert.Zero(t, proxy.server.options.Pool.OpenConnections())
 }
 
 func TestTimeouts(t *testing.T) {
--- a/serving/proxy/monitor.go
+++ b/serving/proxy/monitor.go
@@ -36,7 +36,7 @@
 	if ids := p.pool.UnacknowledgedEndpoints(now); len(ids) > 0 {
 		p.picker.ReportUnacknowledged(now, ids)
 	}
-	p.picker.SetRoundTrips(p.pool.RoundTrips())
+	p.picker.SetRoundTrips(p.pool.MinRoundTrips())
 	for _, opening := range p.picker.TakeBreakerOpenings() {
 		event.RolloutBreakerOpened.Log(p.log).
 			Str("service", opening.Service).
--- a/serving/proxy/proxy.go
+++ b/serving/proxy/proxy.go
@@ -107,7 +107,7 @@
 	})
 	p.retry = retry.New(now, retryLimits(bounds), rand.Uint64())
 	p.drainGrace.Store(int64(bounds.Grace))
-	p.pool = upstream.New(upstream.Options{MaxOpen: fileShare(processSettings, endpointShare)})
+	p.pool = upstream.New(upstream.Options{MaxConnections: fileShare(processSettings, endpointShare)})
 	p.agent = &agentPoller{
 		client:           client,
 		address:          processSettings.SubscriptionAddress(),
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -63,11 +63,11 @@
 		assert.Equal(t, "body", body)
 	}
 	assert.EqualValues(t, 1, endpoint.Connections())
-	assert.Equal(t, 1, pool.Open())
+	assert.Equal(t, 1, pool.OpenConnections())
 	pool.Sweep(time.Now())
-	assert.Equal(t, 1, pool.Open())
+	assert.Equal(t, 1, pool.OpenConnections())
 	pool.Sweep(time.Now().Add(time.Hour))
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 }
 
 // TestPool_DoesNotReuseAfter: after each of these responses, the next request uses a new connection.
@@ -129,7 +129,7 @@
 	<-late
 	require.Nil(t, failure)
 	assert.Equal(t, "next", body)
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 }
 
 // TestDo_ResentRequestUsesNewConnection: an endpoint that rejected a request may repeat the rejection late, while it
@@ -158,7 +158,7 @@
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
 	assert.EqualValues(t, 2, endpoint.Connections())
-	assert.Equal(t, 1, pool.Open(), "the connection of the first attempt is replaced")
+	assert.Equal(t, 1, pool.OpenConnections(), "the connection of the first attempt is replaced")
 }
 
 func TestPool_ConnectionClosedWhileIdle(t *testing.T) {
@@ -248,7 +248,7 @@
 	_, body, failure := doCall(t, pool, call)
 	require.Nil(t, failure)
 	assert.Equal(t, "body", body)
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 	close(responded)
 	assert.Less(t, <-rest, int64(len(call.Body)))
 	_, _, failure = doCall(t, pool, newCall(endpoint.Address()))
@@ -305,11 +305,11 @@
 	for _, roundTrip := range []time.Duration{80, 75, 900, 70, 76} {
 		d.recordRoundTrip("z", roundTrip*time.Millisecond)
 	}
-	minimum := (&Pool{dialer: d}).RoundTrips()["z"]
+	minimum := (&Pool{dialer: d}).MinRoundTrips()["z"]
 	assert.GreaterOrEqual(t, minimum, 70*time.Millisecond)
 	assert.Less(t, minimum, 72*time.Millisecond)
 	for range 500 {
 		d.recordRoundTrip("z", 200*time.Millisecond)
 	}
-	assert.Greater(t, (&Pool{dialer: d}).RoundTrips()["z"], 190*time.Millisecond, "the path has become longer")
+	assert.Greater(t, (&Pool{dialer: d}).MinRoundTrips()["z"], 190*time.Millisecond, "the path has become longer")
 }
--- a/serving/upstream/dialer.go
+++ b/serving/upstream/dialer.go
@@ -90,8 +90,8 @@
 	d.meanRoundTrips[zone] = roundTrip
 }
 
-// RoundTrips returns, by zone, the shortest time that connecting to the zone's endpoints has taken recently.
-func (p *Pool) RoundTrips() map[string]time.Duration {
+// MinRoundTrips returns, by zone, the shortest time that connecting to the zone's endpoints has taken recently.
+func (p *Pool) MinRoundTrips() map[string]time.Duration {
 	p.dialer.mu.Lock()
 	defer p.dialer.mu.Unlock()
 	return maps.Clone(p.dialer.minRoundTrips)
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -12,7 +12,7 @@
 
 // Defaults of a pool.
 const (
-	defaultMaxOpen        = 1024
+	defaultMaxConnections = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultAckTimeout     = 1500 * time.Millisecond
 	// defaultIdleTimeout is how long an idle connection stays open if its endpoint announces no timeout of its own.
@@ -25,7 +25,7 @@
 
 // Options are the parameters of a pool. A field that is zero stands for its default.
 type Options struct {
-	MaxOpen        int           // connections to all endpoints together
+	MaxConnections int           // connections to all endpoints together
 	ConnectTimeout time.Duration // of a new connection, in addition to two measured round trips
 	AckTimeout     time.Duration // after which the kernel closes a connection with unacknowledged data
 }
@@ -50,8 +50,8 @@
 
 // New returns an empty pool.
 func New(options Options) *Pool {
-	if options.MaxOpen <= 0 {
-		options.MaxOpen = defaultMaxOpen
+	if options.MaxConnections <= 0 {
+		options.MaxConnections = defaultMaxConnections
 	}
 	if options.ConnectTimeout <= 0 {
 		options.ConnectTimeout = defaultConnectTimeout
@@ -101,8 +101,8 @@
 	}
 }
 
-// Open returns the number of connections, idle or in use.
-func (p *Pool) Open() int {
+// OpenConnections returns the number of connections that are idle, in use or being established.
+func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
@@ -128,7 +128,7 @@
 	if limit > 0 && connections.open >= limit && !p.closeOldestIdle(connections) {
 		return nil, false
 	}
-	if p.open >= p.options.MaxOpen && !p.closeOldestIdleOfAll() {
+	if p.open >= p.options.MaxConnections && !p.closeOldestIdleOfAll() {
 		return nil, false
 	}
 	connections.open++
--- a/serving/upstream/response_test.go
+++ b/serving/upstream/response_test.go
@@ -60,7 +60,7 @@
 			_, _, failure := doCall(t, pool, newCall(endpoint.Address()))
 			require.NotNil(t, failure)
 			assert.Equal(t, attempt.Broken, failure.Outcome)
-			assert.Zero(t, pool.Open())
+			assert.Zero(t, pool.OpenConnections())
 		})
 	}
 }
--- a/serving/upstream/termination_test.go
+++ b/serving/upstream/termination_test.go
@@ -24,7 +24,7 @@
 	_, failure := pool.Do(context.Background(), call)
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.ConnectFailed, failure.Outcome)
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 }
 
 func TestDo_ConnectionLimits(t *testing.T) {
@@ -33,7 +33,7 @@
 		conn.WriteText(okResponse)
 		conn.ReadToEnd()
 	})
-	pool := New(Options{MaxOpen: 2})
+	pool := New(Options{MaxConnections: 2})
 	call := newCall(endpoint.Address())
 	call.MaxConnections = 1
 	pending, failure := pool.Do(context.Background(), call)
@@ -51,7 +51,7 @@
 	third.EndpointID = "i-3"
 	_, _, failure = doCall(t, pool, third)
 	require.Nil(t, failure, "an idle connection to another endpoint is closed to stay within the limit")
-	assert.Equal(t, 2, pool.Open())
+	assert.Equal(t, 2, pool.OpenConnections())
 	pending.Close()
 }
 
@@ -79,7 +79,7 @@
 			}
 			assert.Equal(t, attempt.Canceled, failure.Outcome)
 			<-closed
-			assert.Zero(t, pool.Open())
+			assert.Zero(t, pool.OpenConnections())
 		})
 	}
 }
@@ -121,5 +121,5 @@
 	require.NotNil(t, failure)
 	assert.Equal(t, attempt.TimedOut, failure.Outcome)
 	assert.True(t, failure.Abandoned)
-	assert.Zero(t, pool.Open())
+	assert.Zero(t, pool.OpenConnections())
 }
