--- a/serving/httpserver/call.go
+++ b/serving/httpserver/call.go
@@ -9,7 +9,7 @@
 	"rowanlink/serving/upstream"
 )
 
-// Bounds of the priority that is sent to endpoints.
+// Range of the priority that is sent to endpoints; the smallest number is the highest priority.
 const (
 	highestPriority = 0
 	lowestPriority  = 9
--- a/serving/httpserver/drain_test.go
+++ b/serving/httpserver/drain_test.go
@@ -30,8 +30,8 @@
 
 	plan := planDrain(time.Minute)
 	var sleeps []time.Duration
-	observePhase := func(span time.Duration) {
-		sleeps = append(sleeps, span)
+	observePhase := func(duration time.Duration) {
+		sleeps = append(sleeps, duration)
 		switch len(sleeps) {
 		case 1:
 			fresh := proxy.dial()
@@ -48,8 +48,8 @@
 			assert.Equal(t, 200, long.receive().StatusCode)
 		}
 	}
-	proxy.server.sleep = func(_ context.Context, span time.Duration) bool {
-		observePhase(span)
+	proxy.server.sleep = func(_ context.Context, duration time.Duration) bool {
+		observePhase(duration)
 		return true
 	}
 	proxy.server.Drain(t.Context(), time.Minute)
@@ -60,9 +60,9 @@
 // TestDrain_WaitsForUnreadRequest: a request that has arrived on an idle connection but was not read yet is not among
 // the requests in flight. Drain must wait for it nevertheless.
 func TestDrain_WaitsForUnreadRequest(t *testing.T) {
-	own := listen(t)
-	client := dial(t, own.Addr().String())
-	l := newListener(own, 1, func() (time.Duration, time.Duration) { return 0, 0 }, func() {})
+	tcpListener := listen(t)
+	client := dial(t, tcpListener.Addr().String())
+	l := newListener(tcpListener, 1, func() (time.Duration, time.Duration) { return 0, 0 }, func() {})
 	s := &Server{listener: l}
 	accepted, err := l.Accept()
 	require.NoError(t, err)
--- a/serving/proxy/monitor.go
+++ b/serving/proxy/monitor.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// monitorInterval is the time between two checks of the endpoints.
+	// monitorInterval is the time between two checks, for instance for endpoints that don't acknowledge sent data.
 	monitorInterval = 250 * time.Millisecond
 	// minReportInterval is the shortest time between two reports of observations, unless an observation is urgent.
 	// Failed calls alone are not urgent.
--- a/serving/upstream/call_test.go
+++ b/serving/upstream/call_test.go
@@ -106,8 +106,9 @@
 	}
 }
 
-// TestPool_LateForeignResponse: a foreign response arrives before the connection is reused, or after the next request
-// was sent.
+// TestPool_LateForeignResponse: after the next request was sent on the connection, the endpoint sends its response to
+// the first request again, before the response to the next one. The repeated response is skipped, and the connection is
+// not reused any more.
 func TestPool_LateForeignResponse(t *testing.T) {
 	late := make(chan struct{})
 	endpoint := scriptedendpoint.Start(t, func(conn *scriptedendpoint.Conn) {
--- a/serving/upstream/fuzz_test.go
+++ b/serving/upstream/fuzz_test.go
@@ -31,9 +31,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	call := &Call{EndpointID: "e", Method: http.MethodPost, Header: http.Header{headerAttempt: {"a1"}}}
-	own := newConnection(&scriptedConn{data: bytes.NewReader(sent)})
-	response = &Response{pool: New(testOptions), call: call, connection: own, ctx: ctx, cancel: cancel, requestWritten: true,
-		watchdog: watchdog{abandon: own.closeOnce}, stopCancelHook: func() bool { return true }}
+	c := newConnection(&scriptedConn{data: bytes.NewReader(sent)})
+	response = &Response{pool: New(testOptions), call: call, connection: c, ctx: ctx, cancel: cancel, requestWritten: true,
+		watchdog: watchdog{abandon: c.closeOnce}, stopCancelHook: func() bool { return true }}
 	if failure := response.receiveHead(); failure != nil {
 		return nil, nil, false
 	}
