--- a/cluster/fsm/delta.go
+++ b/cluster/fsm/delta.go
@@ -13,7 +13,7 @@
 )
 
 // encodeDelta compresses a snapshot with an earlier one as the dictionary, so that unchanged sections become
-// references. The frame has a checksum of the result, so that ApplyDelta notices another base.
+// references. The frame contains a checksum of the result, by which ApplyDelta detects a wrong base.
 func encodeDelta(base, target []byte) []byte {
 	window := min(max(1<<bits.Len(uint(len(base)+len(target))), zstd.MinWindowSize), zstd.MaxWindowSize)
 	encoder, err := zstd.NewWriter(nil,
@@ -23,14 +23,14 @@
 		zstd.WithEncoderLevel(zstd.SpeedDefault),
 		zstd.WithLowerEncoderMem(true))
 	if err != nil {
-		return target // as large as the full snapshot, which is sent instead
+		return target // not smaller than the full snapshot, so DeltaSince returns that instead
 	}
 	defer func() { _ = encoder.Close() }() // there is no stream to flush
 	return encoder.EncodeAll(target, make([]byte, 0, len(target)/16))
 }
 
-// ApplyDelta returns the snapshot that a delta of SnapshotHistory.DeltaSince leads to from its base; ErrUnreadable
-// if the delta is damaged or has another base.
+// ApplyDelta applies a delta from SnapshotHistory.DeltaSince to its base and returns the resulting snapshot. It
+// returns ErrUnreadable if the delta is damaged or belongs to another base.
 func ApplyDelta(base, delta []byte) ([]byte, error) {
 	decoder, err := zstd.NewReader(nil,
 		zstd.WithDecoderDictRaw(deltaDictionaryID, base),
--- a/cluster/fsm/errorcode.go
+++ b/cluster/fsm/errorcode.go
@@ -10,7 +10,8 @@
 // ErrUnreadable means that a command or snapshot can't be decoded or is invalid; nothing was changed.
 var ErrUnreadable = lease.ErrUnreadable
 
-// codedErrors lists the errors by their code, from 1. Members exchange the codes: none ever gets another meaning.
+// codedErrors lists the errors in the order of their codes, which begin at 1. Members exchange the codes, so the
+// meaning of a code must never change.
 var codedErrors = []error{
 	cluster.ErrFenced,
 	cluster.ErrNotFound,
@@ -21,8 +22,8 @@
 
 const unreadableCode = 5
 
-// ErrorCode returns the code of an error for other members; 0: no error. Errors without a code of their own get
-// that of ErrUnreadable.
+// ErrorCode returns the code by which an error is sent to other members; 0 means no error. An error without a code of
+// its own gets that of ErrUnreadable.
 func ErrorCode(err error) uint16 {
 	if err == nil {
 		return 0
@@ -35,7 +36,7 @@
 	return unreadableCode
 }
 
-// ErrorFromCode returns the error of a code; ErrUnreadable for a code of a newer program.
+// ErrorFromCode returns the error of a code. It returns ErrUnreadable for a code that only a newer program knows.
 func ErrorFromCode(code uint16) error {
 	if code == 0 {
 		return nil
--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -1,6 +1,6 @@
 // Package fsm is the replicated state machine (Schneider, Implementing fault-tolerant services using the state
-// machine approach, 1990). It consists of components: it checks the fencing of commands, passes each to its
-// component, and joins the components' snapshots.
+// machine approach, 1990). It consists of components: it checks the fencing token of each command, passes the command
+// to its component, and combines the snapshots of the components.
 package fsm
 
 import (
@@ -17,13 +17,13 @@
 	leases     *lease.Table
 	components map[cluster.ComponentID]cluster.Component
 	versions   map[cluster.ComponentID]uint64 // see ComponentVersion
-	initial    map[cluster.ComponentID][]byte // each component's first state, for a snapshot that lacks it
+	initial    map[cluster.ComponentID][]byte // each component's state at first, used if a snapshot lacks the component
 }
 
 // codec encodes and decodes entries and snapshots.
 var codec = strictcbor.New(strictcbor.Options{RejectUnknownFields: true})
 
-// New joins the lease table, as cluster.LeaseComponent, with other components.
+// New returns a machine with the lease table, as cluster.LeaseComponent, and the other components.
 func New(leases *lease.Table, others map[cluster.ComponentID]cluster.Component) *Machine {
 	m := &Machine{
 		leases:     leases,
@@ -34,13 +34,13 @@
 	maps.Copy(m.components, others)
 	m.components[cluster.LeaseComponent] = leases
 	for id, component := range m.components {
-		// A component that can't be encoded rejects the missing snapshot in Restore.
+		// An error leaves this state empty; the component's Restore then rejects it.
 		m.initial[id], _ = component.Snapshot()
 	}
 	return m
 }
 
-// EncodeCommand returns a command as a log entry.
+// EncodeCommand encodes a command as a log entry.
 func EncodeCommand(c cluster.Command) []byte {
 	b, err := codec.Marshal(c)
 	if err != nil {
@@ -49,9 +49,11 @@
 	return b
 }
 
-// Apply executes the log entry with an index and returns the component's result. Errors, each of which changes
-// nothing: cluster.ErrFenced if the lease on FencedBy is not held with that epoch; ErrUnreadable if the entry
-// can't be decoded or its component is unknown; else the component's own.
+// Apply executes the log entry with the given index and returns the component's result. If it returns an error,
+// nothing has changed:
+//   - cluster.ErrFenced: the lease on FencedBy is not held with the epoch of the command.
+//   - ErrUnreadable: the entry can't be decoded or its component is unknown.
+//   - Other errors are the component's own.
 func (m *Machine) Apply(index uint64, entry []byte) ([]byte, error) {
 	var c cluster.Command
 	if err := codec.Unmarshal(entry, &c); err != nil {
--- a/cluster/fsm/snapshot.go
+++ b/cluster/fsm/snapshot.go
@@ -9,7 +9,8 @@
 	"rowanlink/cluster"
 )
 
-// snapshotFormat is raised when an older program could no longer read a snapshot.
+// snapshotFormat is the version of the snapshot format. It is raised when older programs can no longer read a
+// snapshot.
 const snapshotFormat = 1
 
 type machineImage struct {
@@ -23,7 +24,7 @@
 	Snapshot  []byte              `cbor:"3,keyasint"`
 }
 
-// Snapshot encodes the whole machine; the bytes are the same on each raft node.
+// Snapshot encodes the whole machine. The bytes are the same on each raft node.
 func (m *Machine) Snapshot() ([]byte, error) {
 	image := machineImage{Format: snapshotFormat}
 	for _, id := range slices.Sorted(maps.Keys(m.components)) {
@@ -40,8 +41,8 @@
 	return codec.Marshal(image)
 }
 
-// Restore replaces the machine's state by a snapshot; components that it lacks get their initial state. A
-// snapshot of another format, or with an unknown component, is rejected. If a component rejects its part, the
+// Restore replaces the machine's state by a snapshot. Components that the snapshot lacks get their initial state.
+// Restore rejects a snapshot that has another format or an unknown component. If a component rejects its part, the
 // components that were restored before it are rolled back.
 func (m *Machine) Restore(snapshot []byte) error {
 	var image machineImage
--- a/cluster/lease/digest.go
+++ b/cluster/lease/digest.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster"
 )
 
-// Digest summarizes a set of grants, independently of their order: the sum of a hash of each. Different sets
-// have the same digest only by chance.
+// Digest summarizes a set of grants independently of their order: it is the sum of a hash of each grant. Different
+// sets have the same digest only if their sums happen to collide.
 type Digest uint64
 
 func digestOf(r cluster.Resource, e cluster.Epoch) Digest {
--- a/cluster/lease/expiry_tracker.go
+++ b/cluster/lease/expiry_tracker.go
@@ -6,35 +6,35 @@
 	"rowanlink/webhook/api"
 )
 
-// ExpiryTracker is the leading raft node's timers of sessions: it finds the sessions that have to be ended
-// through the log. It is neither stored nor replicated: the next leader gives each session a full TTL again.
-// Its times are of the raft node's clock.
+// ExpiryTracker holds the session timers of the leading raft node. It finds the sessions whose TTL has run out, which
+// the node then ends through the log. The tracker is neither stored nor replicated: the next leader gives each
+// session a full TTL again. Its times are from the raft node's clock.
 //
-// What the raft node has to do:
-//   - In each raft term in which it leads, propose BeginLeaderEpoch; once that is applied, call StartLeading
-//     with the time read afterwards. Call StopLeading when it no longer leads.
-//   - Call AddOrRenew for each OpOpenSession that is applied while it leads, before the member is answered.
-//   - Confirm a renewal only if QuorumContact.HasQuorumSince covers the time at which the request arrived, and
-//     if Renew, called after that, returns true.
-//   - Propose ExpireSession for what TakeExpired returns; if that fails with cluster.ErrStale, propose
-//     BeginLeaderEpoch again. Call Remove when an end of a session was applied.
+// The raft node must do the following:
+//   - In each raft term in which it leads, propose BeginLeaderEpoch. Once that is applied, read the clock and call
+//     StartLeading with that time. Call StopLeading when it no longer leads.
+//   - Call AddOrRenew for each OpOpenSession that is applied while it leads, before it answers the member.
+//   - Confirm a renewal only if QuorumContact.HasQuorumSince is true for the time at which the request arrived, and
+//     if Renew, called after that check, returns true.
+//   - Propose ExpireSession for each session that TakeExpired returns. If that fails with cluster.ErrStale, propose
+//     BeginLeaderEpoch again. Call Remove when the end of a session has been applied.
 type ExpiryTracker struct {
 	ttl         api.Micros
 	leaderEpoch LeaderEpoch
-	sessions    map[cluster.SessionID]sessionExpiry // nil: not leading
-	timers      timerqueue.Queue[cluster.SessionID] // one for each session, at or before its expiresAt
+	sessions    map[cluster.SessionID]sessionExpiry // nil while the node does not lead
+	timers      timerqueue.Queue[cluster.SessionID] // contains a timer for each session, due no later than its expiresAt
 }
 
 type sessionExpiry struct {
-	expiresAt api.Micros // if expired, when TakeExpired returns it again
-	expired   bool       // returned by TakeExpired: it may be ended at any moment
+	expiresAt api.Micros // when the TTL ends; if expired is set, when TakeExpired returns the session again
+	expired   bool       // TakeExpired has returned the session: the log may end it at any moment
 }
 
-// NewExpiryTracker returns a tracker that does not lead: it knows no session and renews none.
+// NewExpiryTracker returns the tracker of a raft node that does not lead: it has no sessions and renews none.
 func NewExpiryTracker(ttl api.Micros) *ExpiryTracker { return &ExpiryTracker{ttl: ttl} }
 
-// StartLeading starts over with the sessions of the table: each has a full TTL from now, whenever it was last
-// renewed.
+// StartLeading replaces the tracked sessions by those of the table. Each gets a full TTL from now, whenever it was
+// last renewed.
 func (t *ExpiryTracker) StartLeading(now api.Micros, epoch LeaderEpoch, sessions []cluster.SessionID) {
 	t.StopLeading()
 	t.leaderEpoch = epoch
@@ -44,11 +44,11 @@
 	}
 }
 
-// IsLeading reports whether StartLeading was called since the raft node last became leader. Until then it has
-// to answer as one that does not lead.
+// IsLeading reports whether StartLeading was called since the raft node last became leader. Until then the node must
+// answer requests like one that does not lead.
 func (t *ExpiryTracker) IsLeading() bool { return t.sessions != nil }
 
-// StopLeading forgets all sessions: a raft node that does not lead renews and expires none.
+// StopLeading drops all sessions: a raft node that does not lead neither renews nor expires any.
 func (t *ExpiryTracker) StopLeading() {
 	t.sessions = nil
 	t.timers = timerqueue.Queue[cluster.SessionID]{}
@@ -60,8 +60,8 @@
 	t.timers.Add(int64(expiresAt), s)
 }
 
-// AddOrRenew adds the session of an applied OpOpenSession, or renews it if it was open already. It returns false
-// if the session is being ended: the member then has to repeat the request until it gets another one.
+// AddOrRenew adds the session of an applied OpOpenSession, or renews it if it was already open. It returns false if
+// the session is being ended: the member must then repeat the request until it gets a new session.
 func (t *ExpiryTracker) AddOrRenew(s cluster.SessionID, now api.Micros) bool {
 	if _, known := t.sessions[s]; known || !t.IsLeading() {
 		return t.Renew(s, now)
@@ -70,9 +70,9 @@
 	return true
 }
 
-// Renew gives a session a full TTL from now. It returns false if the session has ended or was returned by
-// TakeExpired. A renewal that comes late but before TakeExpired is valid: a leader that was stopped itself need
-// not end a session that nobody else has ended.
+// Renew gives a session a full TTL from now. It returns false if the session has ended or if TakeExpired has returned
+// it. A renewal that arrives after the TTL but before TakeExpired is valid: a leader that was itself paused need not
+// end a session that nobody else has ended.
 func (t *ExpiryTracker) Renew(s cluster.SessionID, now api.Micros) bool {
 	current, known := t.sessions[s]
 	if !known || current.expired {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// TakeExpired returns the sessions whose TTL has run out, to be ended through the log; from then on they are not
-// renewed. Each is returned again every quarter of a TTL until Remove is called.
+// TakeExpired returns the sessions whose TTL has run out, to be ended through the log. From then on they can't be
+// renewed. Each session is returned again every quarter of a TTL until Remove is called.
 func (t *ExpiryTracker) TakeExpired(now api.Micros) (expired []ExpiredSession) {
 	for {
 		s, due := t.timers.PopDue(int64(now))
@@ -103,11 +103,11 @@
 	}
 }
 
-// Remove forgets a session whose end was applied.
+// Remove drops a session whose end has been applied.
 func (t *ExpiryTracker) Remove(s cluster.SessionID) { delete(t.sessions, s) }
 
-// NextCheckAt returns when to call TakeExpired next: never after the earliest expiry, but possibly before it;
-// false without sessions.
+// NextCheckAt returns when to call TakeExpired next: at the earliest expiry or before it, never after it. It returns
+// false if no timer is pending.
 func (t *ExpiryTracker) NextCheckAt() (api.Micros, bool) {
 	at, ok := t.timers.Next()
 	return api.Micros(at), ok
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -6,8 +6,9 @@
 	"rowanlink/cluster"
 )
 
-// Fence rejects requests of earlier lease holders. Each process that lease holders act on has one, with
-// the highest epoch seen of each resource (Kleppmann, How to do distributed locking, 2016: fencing tokens).
+// Fence rejects requests from earlier lease holders by their fencing tokens (Kleppmann, How to do distributed
+// locking, 2016). Each process that lease holders act on has a Fence, which records the highest epoch seen for each
+// resource.
 type Fence struct {
 	highest map[cluster.Resource]cluster.Epoch
 }
@@ -19,12 +20,12 @@
 
 const fenceFormat = 1
 
-// NewFence returns a fence that has seen no epoch. It is only for a folder that never had one.
+// NewFence returns a fence that has seen no epoch. Use it only for a data folder in which no fence was ever stored.
 func NewFence() *Fence { return &Fence{map[cluster.Resource]cluster.Epoch{}} }
 
-// Admit accepts a request whose epoch is at least the highest seen, else returns cluster.ErrFenced. If raised
-// is true, the caller must write Encode's result to disk and sync it before it acts: otherwise a restart would
-// forget the epoch and admit an earlier holder after it.
+// Admit accepts a request whose epoch is at least the highest seen for the resource, and otherwise returns
+// cluster.ErrFenced. If raised is true, the caller must write the result of Encode to disk and sync it before it acts
+// on the request: otherwise the epoch would be lost in a restart, and an earlier holder would be admitted afterwards.
 func (f *Fence) Admit(r cluster.Resource, e cluster.Epoch) (raised bool, err error) {
 	if e == 0 || e < f.highest[r] {
 		return false, cluster.ErrFenced
@@ -34,13 +35,13 @@
 	return raised, nil
 }
 
-// Encode returns the form that DecodeFence reads.
+// Encode encodes the fence for DecodeFence.
 func (f *Fence) Encode() []byte {
 	return codec.MustMarshal(fenceImage{Format: fenceFormat, Highest: f.highest})
 }
 
-// DecodeFence restores the fence of an earlier process. It returns ErrUnreadable if the data is damaged or of a
-// newer format; nothing may be admitted then, and the caller must not begin with an empty fence.
+// DecodeFence restores the fence that an earlier process encoded. It returns ErrUnreadable if the data is damaged or
+// has a newer format. The process must then admit no request, and must not start with an empty fence instead.
 func DecodeFence(b []byte) (*Fence, error) {
 	var image fenceImage
 	if err := codec.Unmarshal(b, &image); err != nil {
--- a/cluster/lease/holder.go
+++ b/cluster/lease/holder.go
@@ -5,42 +5,46 @@
 	"rowanlink/webhook/api"
 )
 
-// Holder is a member's own view of its session: until when it may act, and by which epochs. Each process begins
-// with a new one. Its times are of the member's own clock. Its answers must not be cached: call IsValid or Epoch
-// before an action and again before the action's last byte.
+// Holder is a member's view of its own session: the time until which the member may act, and the epochs of the leases
+// that it holds. Each process starts with a new Holder. Times are from the member's own clock. Results must not be
+// cached: call IsValid or Epoch before an action, and again before the last byte of the action is sent.
 type Holder struct {
-	usableTTL      api.Micros // the part of a TTL that is safe to use even if this clock is slow and the leader's fast
+	usableTTL      api.Micros // safe to use even if this clock is slow and the leader's is fast
 	session        cluster.SessionID
 	deadline       api.Micros
-	newestSession  cluster.SessionID // the highest ever confirmed
-	endedUpTo      cluster.SessionID // sessions up to this one were ended by the member and are not confirmed again
+	newestSession  cluster.SessionID // the highest session ever confirmed
+	endedUpTo      cluster.SessionID // the member has ended sessions up to this one: never confirmed again
 	renewalCount   uint64
-	voidUpTo       uint64 // renewals up to this one were started before a rejection and are void
+	voidUpTo       uint64 // renewals up to this one were started before a rejection and are ignored
 	lastRenewalAt  api.Micros
-	renewalPending bool // the last renewal was not confirmed yet
+	renewalPending bool // the last renewal has not been confirmed yet
 	epochs         map[cluster.Resource]cluster.Epoch
-	relinquished   map[cluster.Resource]cluster.Epoch // epochs that late results must not bring back
+	relinquished   map[cluster.Resource]cluster.Epoch // epochs given up, which late results must not restore
 }
 
-// Renewal is one request to open or renew a session. The session is valid from when the request was started.
+// Renewal is one request to open or renew a session. Once it is confirmed, the validity of the session counts from
+// startedAt, a time before the request was sent.
 type Renewal struct {
 	number    uint64
 	startedAt api.Micros
 }
 
-// clockReadingError is how much a duration may be off because two readings are in whole microseconds.
+// clockReadingError is the largest error, in microseconds, of a duration between two clock readings that are in whole
+// microseconds.
 const clockReadingError = 2
 
-// NewHolder returns a holder without a session. clockDrift is the maximal difference of rate, as a share from 0
-// to below 1, of a clock from true time or of two clocks from each other. The TTL must be the raft nodes'.
+// NewHolder returns a holder without a session. clockDrift is the largest relative difference in rate between a clock
+// and true time, and between two clocks; it is at least 0 and below 1. ttl must be the same as at the raft nodes.
 //
-// When a slow clock shows usableTTL, at most usableTTL/(1-clockDrift) has passed; a leader with a fast clock
-// ends the session after ttl/(1+clockDrift). The former must be less.
+// While a slow clock measures usableTTL, at most usableTTL/(1-clockDrift) of true time passes. A leader with a fast
+// clock may end the session after ttl/(1+clockDrift) of true time. The former must be less, so that the holder stops
+// first.
 func NewHolder(ttl api.Micros, clockDrift float64) *Holder {
 	return &Holder{usableTTL: api.Micros(float64(ttl)*(1-clockDrift)/(1+clockDrift)) - clockReadingError}
 }
 
-// StartRenewal is called before each request to open or renew a session is sent, with the time read before that.
+// StartRenewal returns the renewal for a request to open or renew a session. It must be called before the request is
+// sent, with the current time.
 func (h *Holder) StartRenewal(now api.Micros) Renewal {
 	h.renewalCount++
 	h.lastRenewalAt = now
@@ -48,14 +52,14 @@
 	return Renewal{number: h.renewalCount, startedAt: now}
 }
 
-// ConfirmRenewal records that a raft node has opened or renewed this session. Responses may come late, twice or
-// out of order; none extends the session beyond one TTL from the start of its own request. It returns false if
-// the response was ignored.
+// ConfirmRenewal records the response of a raft node that it has opened or renewed session s. Responses may arrive
+// late, twice or out of order; none extends the session beyond one TTL from the start of its own request. It returns
+// false if the response was ignored.
 func (h *Holder) ConfirmRenewal(r Renewal, s cluster.SessionID) bool {
 	if r.number <= h.voidUpTo || s < h.newestSession || s <= h.endedUpTo {
 		return false
 	}
-	if s > h.newestSession { // the previous session has ended, or this one would not have been opened
+	if s > h.newestSession { // the previous session has ended: otherwise this one would not have been opened
 		h.newestSession = s
 		h.deadline = 0
 		h.epochs = map[cluster.Resource]cluster.Epoch{}
@@ -69,9 +73,9 @@
 	return true
 }
 
-// HandleRejection records that a raft node rejected a request of the session, as it has ended or is being ended.
-// The holder stops at once, and only a renewal started from now on can yield a session. The rejection of an
-// earlier session is ignored.
+// HandleRejection records that a raft node rejected a request of session s because the session has ended or is being
+// ended. The holder becomes invalid at once, and only a renewal that is started afterwards can make it valid again. A
+// rejection of an earlier session is ignored.
 func (h *Holder) HandleRejection(s cluster.SessionID) {
 	if s != h.session {
 		return
@@ -82,9 +86,9 @@
 	clear(h.epochs)
 }
 
-// EndSession stops the holder and returns the session that the member then has to end in the log. A process that
-// continues needs a new incarnation for its next session: with the old one it could be given the same session,
-// and the end could be applied after that.
+// EndSession makes the holder invalid and returns the session, which the member must then end in the log. A process
+// that continues needs a new incarnation for its next session: a request to open one with the old incarnation could
+// return the same session, and the log could end that session afterwards.
 func (h *Holder) EndSession() cluster.SessionID {
 	s := h.session
 	h.endedUpTo = max(h.endedUpTo, s)
@@ -92,18 +96,20 @@
 	return s
 }
 
-// Session returns the session that was last confirmed, valid or not; 0: none, one has to be opened.
+// Session returns the session that was confirmed last, even if it is no longer valid; 0 if there is none and the
+// member has to open one.
 func (h *Holder) Session() cluster.SessionID { return h.session }
 
-// IsValid reports whether the session is surely open: no raft node has let it expire, as long as the clocks stay
+// IsValid reports whether the session is certainly open: no raft node has let it expire, as long as the clocks stay
 // within the drift.
 func (h *Holder) IsValid(now api.Micros) bool { return h.session != 0 && now < h.deadline }
 
-// Deadline returns when IsValid becomes false if no renewal is confirmed before; 0 without a session.
+// Deadline returns the time at which IsValid becomes false unless a renewal is confirmed before; 0 without a session.
 func (h *Holder) Deadline() api.Micros { return h.deadline }
 
-// NextRenewalAt returns when to start the next renewal: a third of the usable TTL after one that was confirmed,
-// a sixth after one that was not, so that three may be lost before the session is. 0, at once, before the first.
+// NextRenewalAt returns when to start the next renewal: a third of the usable TTL after the last one if that was
+// confirmed, a sixth if it was not, so that three renewals in a row may be lost before the session is. Before the
+// first renewal it returns 0, which means at once.
 func (h *Holder) NextRenewalAt() api.Micros {
 	switch {
 	case h.renewalCount == 0:
@@ -115,10 +121,10 @@
 	}
 }
 
-// AddGrant records a grant from the result of a request of session s. It returns false if another session holds
-// the lease, or if the result is outdated: of an earlier session, or of a grant that was relinquished since. If
-// the latter recurs, its release was lost and has to be proposed again. Epoch reports whether the grant may be
-// used.
+// AddGrant records a grant from the result of a request by session s. It returns false if another session holds the
+// lease, or if the result is outdated: it is of an earlier session, or the grant has been relinquished since. If a
+// relinquished grant is reported again, its release was lost and must be proposed again. Whether the grant may be
+// used is reported by Epoch, not by AddGrant.
 func (h *Holder) AddGrant(s cluster.SessionID, g Grant) bool {
 	lowest := max(h.relinquished[g.Resource]+1, h.epochs[g.Resource])
 	if s == 0 || s != h.session || g.Epoch < lowest {
@@ -128,7 +134,8 @@
 	return true
 }
 
-// Relinquish gives up one lease, before its release is proposed with the epoch returned; false if it is not held.
+// Relinquish gives up one lease and returns its epoch, with which the caller then proposes the release. It returns
+// false if the lease is not held.
 func (h *Holder) Relinquish(r cluster.Resource) (cluster.Epoch, bool) {
 	epoch, held := h.epochs[r]
 	if held {
@@ -138,7 +145,7 @@
 	return epoch, held
 }
 
-// Epoch returns the epoch by which the member may act on the resource now; false if it may not.
+// Epoch returns the epoch under which the member may act on the resource now; false if it may not.
 func (h *Holder) Epoch(r cluster.Resource, now api.Micros) (cluster.Epoch, bool) {
 	epoch, held := h.epochs[r]
 	return epoch, held && h.IsValid(now)
--- a/cluster/lease/operation.go
+++ b/cluster/lease/operation.go
@@ -8,15 +8,15 @@
 	"rowanlink/internal/strictcbor"
 )
 
-// Incarnation identifies one process of a member. Each process draws its own at random when it starts and never
-// stores it: two processes that run from one folder must not share a session.
+// Incarnation identifies one process of a member. Each process picks a random one when it starts and never stores it:
+// two processes that run from the same data folder must not share a session.
 type Incarnation uint64
 
-// LeaderEpoch identifies the period in which one raft node leads: the log index of the entry that began it, or
-// a higher number; 0: none yet.
+// LeaderEpoch identifies a period in which one raft node leads. It is the log index of the entry that began the
+// period, or a higher number (see Table); 0 means that none has begun yet.
 type LeaderEpoch uint64
 
-// ExpiredSession is a session whose TTL has run out, and the leader epoch in which that was found.
+// ExpiredSession is a session whose TTL has run out, and the leader epoch in which the expiry was found.
 type ExpiredSession struct {
 	Session     cluster.SessionID
 	LeaderEpoch LeaderEpoch
@@ -33,7 +33,7 @@
 	LeaderEpoch LeaderEpoch        `cbor:"7,keyasint,omitempty"`
 }
 
-// OperationKind says what an Operation does.
+// OperationKind selects what an Operation does.
 type OperationKind uint8
 
 // The kinds of operations. Their numbers are stored in the log.
@@ -46,7 +46,7 @@
 	OpExpireSession
 )
 
-// Grant is the result of acquiring the lease on one resource; with epoch 0 another session holds it.
+// Grant is the outcome of acquiring the lease on one resource. Epoch 0 means that another session holds the lease.
 type Grant struct {
 	Resource cluster.Resource `cbor:"1,keyasint"`
 	Epoch    cluster.Epoch    `cbor:"2,keyasint,omitempty"`
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// Result is what the proposer of an operation receives.
+// Result is the outcome of an operation, which its proposer receives.
 type Result struct {
-	Session     cluster.SessionID `cbor:"1,keyasint"`           // the session that was opened or acted for
+	Session     cluster.SessionID `cbor:"1,keyasint"`           // opened, or the one that the operation is about
 	Grants      []Grant           `cbor:"2,keyasint,omitempty"` // of OpAcquire
 	LeaderEpoch LeaderEpoch       `cbor:"3,keyasint,omitempty"` // of OpBeginLeaderEpoch
 }
@@ -82,7 +82,7 @@
 // codec encodes and decodes operations, results and snapshots.
 var codec = strictcbor.New(strictcbor.Options{RejectUnknownFields: true, MaxArrayElements: maxArrayElements})
 
-// DecodeResult decodes what Table.Apply returned, else returns ErrUnreadable.
+// DecodeResult decodes the result of Table.Apply. It returns ErrUnreadable if that is malformed.
 func DecodeResult(b []byte) (r Result, err error) {
 	if err = codec.Unmarshal(b, &r); err != nil {
 		return Result{}, fmt.Errorf("result of a lease operation: %w: %w", ErrUnreadable, err)
@@ -100,8 +100,8 @@
 	return op, nil
 }
 
-// validate rejects an operation that lacks a field that its kind needs or has one that its kind has no use for,
-// so that all raft nodes reject the same entries.
+// validate returns ErrUnreadable if the operation lacks a field that its kind requires, or has one that its kind does
+// not use, so that all raft nodes reject the same entries.
 func (op *Operation) validate() error {
 	resources, ok := op.expectedResources()
 	if !ok {
@@ -117,7 +117,7 @@
 		(op.LeaderEpoch != 0) == (op.Kind == OpExpireSession) &&
 		len(op.Member) <= maxNameLength
 	if !valid {
-		return fmt.Errorf("lease operation of kind %d lacks or adds a field: %w", op.Kind, ErrUnreadable)
+		return fmt.Errorf("lease operation of kind %d has a missing or an unexpected field: %w", op.Kind, ErrUnreadable)
 	}
 	for _, resource := range op.Resources {
 		if resource == "" || len(resource) > maxNameLength {
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// expectedResources returns how many resources an operation of its kind has to name; false for an unknown kind.
+// expectedResources returns how many resources an operation of its kind must name; for OpAcquire that is their actual
+// number, if it is within the limits. It returns false for an unknown kind.
 func (op *Operation) expectedResources() (count int, ok bool) {
 	switch op.Kind {
 	case OpOpenSession, OpEndSession, OpBeginLeaderEpoch, OpExpireSession:
--- a/cluster/lease/quorum_contact.go
+++ b/cluster/lease/quorum_contact.go
@@ -5,23 +5,25 @@
 	"rowanlink/webhook/api"
 )
 
-// QuorumContact records when a leading raft node last sent each peer a message that was acknowledged in the
-// leader's own raft term, and so up to when it surely led. raft's VerifyLeader does not suffice: it accepts any
-// acknowledgement that arrives after the call, including one that was given before another leader was elected
-// and that a stopped leader reads late. Times are of the leader's clock.
+// QuorumContact is kept by a leading raft node. For each peer it records when the node sent the last message that the
+// peer acknowledged in the node's own raft term. These times show until when the node certainly led. The raft
+// library's VerifyLeader does not suffice: it counts any acknowledgement that arrives after the call, including one
+// that the peer gave before another leader was elected and that a paused leader reads late. Times are from the
+// leader's clock.
 type QuorumContact struct {
-	quorumPeers int // acknowledging peers that form a majority together with the leader
+	quorumPeers int // number of peers that form a majority together with the leader
 	raftTerm    uint64
 	lastContact map[cluster.MemberID]api.Micros // when the last acknowledged message was sent
 }
 
-// NewQuorumContact is for a configuration of so many voters, the leader among them.
+// NewQuorumContact returns a QuorumContact for a raft configuration with the given number of voters, including the
+// leader.
 func NewQuorumContact(voters int) *QuorumContact {
 	return &QuorumContact{quorumPeers: voters / 2, lastContact: map[cluster.MemberID]api.Micros{}}
 }
 
-// RecordContact records that a peer acknowledged, in the given raft term, a message that was sent at the given
-// time. Contacts of an earlier raft term no longer count.
+// RecordContact records that a peer acknowledged, in the given raft term, a message that was sent at the given time.
+// Contacts of earlier raft terms no longer count.
 func (q *QuorumContact) RecordContact(raftTerm uint64, from cluster.MemberID, sent api.Micros) {
 	if raftTerm > q.raftTerm {
 		q.raftTerm = raftTerm
@@ -33,7 +35,8 @@
 	}
 }
 
-// HasQuorumSince reports whether this raft node surely led at the given time or later.
+// HasQuorumSince reports whether this raft node certainly led at time t or later: a majority, including the node
+// itself, has acknowledged messages that were sent at t or later.
 func (q *QuorumContact) HasQuorumSince(t api.Micros) bool {
 	contacted := 0
 	for _, sent := range q.lastContact {
--- a/cluster/lease/reconciler.go
+++ b/cluster/lease/reconciler.go
@@ -9,15 +9,15 @@
 	"rowanlink/webhook/api"
 )
 
-// Reconciler brings the leases that a member holds in line with those that it requests: it decides what to
-// propose next, and tracks what the raft nodes are known to have applied. Messages may be lost, duplicated and
-// late: what is not known to be applied is proposed again, and ReconcileGrants repairs differences between the
-// member and the log.
+// Reconciler brings the leases that a member holds in line with those that it requests. It decides what to propose
+// next, and tracks which proposals the raft nodes are known to have applied. Messages may be lost, duplicated or
+// late. Therefore a proposal that is not known to be applied is made again, and ReconcileGrants repairs differences
+// between the member's state and the log.
 type Reconciler struct {
 	holder        *Holder
 	retryInterval api.Micros
 	requested     map[cluster.Resource]request
-	releasing     map[cluster.Resource]releasedGrant // relinquished, and not known to be released in the log
+	releasing     map[cluster.Resource]releasedGrant // given up by the member, but not known to be released in the log
 }
 
 // request is the state of one requested resource.
@@ -50,8 +50,9 @@
 	return AcquireLeases(p.Session, p.Acquire...)
 }
 
-// NewReconciler returns a reconciler without requests. A blocked request is retried after retryInterval, by the
-// member's clock, even if no raft node has reported that the lease was released.
+// NewReconciler returns a reconciler without requests. A request that is blocked, since another session holds the
+// lease, is retried after retryInterval by the member's clock, even if no raft node has reported that the lease was
+// released.
 func NewReconciler(h *Holder, retryInterval api.Micros) *Reconciler {
 	return &Reconciler{
 		holder:        h,
@@ -61,7 +62,8 @@
 	}
 }
 
-// Request has the lease on a resource acquired and kept until Release. It returns false if it is requested already.
+// Request makes the reconciler acquire the lease on a resource and keep it until Release is called. It returns false
+// if the resource is already requested.
 func (c *Reconciler) Request(r cluster.Resource) bool {
 	if _, known := c.requested[r]; known {
 		return false
@@ -70,8 +72,8 @@
 	return true
 }
 
-// Release gives a lease up at once. If it was granted, but the grant is not known here yet, HandleResult or
-// ReconcileGrants releases it later.
+// Release gives up the lease on a resource at once. If the log has granted the lease but the member does not know
+// that yet, HandleResult or ReconcileGrants releases it later.
 func (c *Reconciler) Release(r cluster.Resource) {
 	delete(c.requested, r)
 	if epoch, held := c.holder.Relinquish(r); held {
@@ -79,8 +81,8 @@
 	}
 }
 
-// CancelRequest drops a request that was not granted. One that was granted needs Release, even if the session is
-// past its deadline: the session may become valid again, and calls under the lease may be in flight.
+// CancelRequest drops a request for which no grant is known. A granted one needs Release, even if the session is past
+// its deadline: the session may become valid again, and calls under the lease may be in flight.
 func (c *Reconciler) CancelRequest(r cluster.Resource) {
 	if _, granted := c.holder.epochs[r]; !granted {
 		delete(c.requested, r)
@@ -90,15 +92,16 @@
 // Requested returns the requested resources, sorted.
 func (c *Reconciler) Requested() []cluster.Resource { return slices.Sorted(maps.Keys(c.requested)) }
 
-// RetryAll has all requests proposed again, for a new session.
+// RetryAll makes all requests due, so that they are proposed for a new session.
 func (c *Reconciler) RetryAll() {
 	for r := range c.requested {
 		c.requested[r] = request{}
 	}
 }
 
-// NextProposal returns what to propose now. Releases come first, since until then no other member is granted the
-// lease. There is nothing to propose without a valid session: once it is valid again, all is proposed.
+// NextProposal returns what to propose now. Releases come before acquisitions, since no other member is granted a
+// lease before its release is applied. Without a valid session there is nothing to propose; once the session is valid
+// again, all outstanding proposals are made.
 func (c *Reconciler) NextProposal(now api.Micros) Proposal {
 	if !c.holder.IsValid(now) {
 		return Proposal{}
@@ -117,7 +120,7 @@
 	return p
 }
 
-// isDue reports whether a requested resource is not held and may be tried again.
+// isDue reports whether the lease on a requested resource is not held and may be requested from the log now.
 func (c *Reconciler) isDue(r cluster.Resource, now api.Micros) bool {
 	if _, held := c.holder.Epoch(r, now); held {
 		return false
@@ -126,7 +129,8 @@
 	return !state.blocked || now-state.blockedAt >= c.retryInterval
 }
 
-// NextRetryAt returns when NextProposal may have work though nothing else has happened; false if never.
+// NextRetryAt returns when the next blocked request is due, so that NextProposal may have work although nothing else
+// has happened. It returns false if no request is blocked.
 func (c *Reconciler) NextRetryAt() (at api.Micros, scheduled bool) {
 	for _, state := range c.requested {
 		if !state.blocked {
@@ -140,15 +144,16 @@
 	return at, scheduled
 }
 
-// HandleResult processes the grants in the result of an acquisition by session s. It reports whether requests
-// are blocked now; see Blocked.
+// HandleResult processes the grants in the result of an acquisition by session s. It reports whether any of these
+// requests is blocked now; see Blocked.
 func (c *Reconciler) HandleResult(s cluster.SessionID, grants []Grant, now api.Micros) (blocked bool) {
 	for _, g := range grants {
 		if g.Err() == nil {
 			c.reconcileGrant(s, g)
 			continue
 		}
-		// The result may be of an earlier session, when the lease may have been held by that very session.
+		// A rejection of an earlier session is ignored: the session that held the lease then may have ended since, or
+		// be the current one.
 		_, isRequested := c.requested[g.Resource]
 		_, isGranted := c.holder.epochs[g.Resource]
 		if isRequested && !isGranted && s == c.holder.Session() {
@@ -159,9 +164,10 @@
 	return blocked
 }
 
-// ReconcileGrants processes the grants that session s holds according to a raft node's table. It repairs a grant
-// whose result was lost and that an older table attributed to another session, and releases a grant that was
-// applied after the member had given the lease up: nobody would use that one, and nobody else could acquire it.
+// ReconcileGrants processes the grants that session s holds according to a raft node's table. It recovers a grant
+// whose result was lost, also if a raft node with an older table has reported the lease as held by another session.
+// It releases a grant that was applied after the member had given up the lease: otherwise no other member could
+// acquire a lease that this one does not use.
 func (c *Reconciler) ReconcileGrants(s cluster.SessionID, grants []Grant) {
 	for _, g := range grants {
 		if g.Err() == nil {
@@ -170,7 +176,8 @@
 	}
 }
 
-// reconcileGrant accepts a grant, or releases it if it is not requested or if its release was lost.
+// reconcileGrant adds a grant to the holder. It releases the grant instead if the resource is not requested, or if
+// the member has already given up this grant and the release was lost.
 func (c *Reconciler) reconcileGrant(s cluster.SessionID, g Grant) {
 	isOutdated := g.Epoch < max(c.holder.epochs[g.Resource], c.holder.relinquished[g.Resource])
 	if s != c.holder.Session() || isOutdated {
@@ -181,17 +188,18 @@
 		c.requested[g.Resource] = request{}
 		return
 	}
-	// Without this a late result would bring the grant back while its release is in flight.
+	// Without this a late result would restore the grant while its release is in flight.
 	c.holder.Relinquish(g.Resource)
 	c.releasing[g.Resource] = releasedGrant{session: s, epoch: g.Epoch}
 }
 
-// HandleReleaseResult processes the outcome of a proposed release. It returns false if it has to be proposed again.
+// HandleReleaseResult processes the outcome of a proposed release. It returns false if the release must be proposed
+// again.
 func (c *Reconciler) HandleReleaseResult(p Proposal, err error) bool {
 	if err != nil && !errors.Is(err, cluster.ErrFenced) && !errors.Is(err, cluster.ErrNotFound) {
 		return false
 	}
-	// It was applied, now or by an earlier attempt, or the session has ended and all its leases with it.
+	// The release was applied, by this proposal or an earlier one, or the session has ended and with it all its leases.
 	if c.releasing[p.Release] == (releasedGrant{session: p.Session, epoch: p.Epoch}) {
 		delete(c.releasing, p.Release)
 	}
@@ -208,8 +216,8 @@
 	return blocked
 }
 
-// HandleFreed processes a raft node's report that leases were released. It reports whether any of them is to be
-// proposed now.
+// HandleFreed processes a raft node's report that leases were released. It reports whether any of them is requested
+// and blocked, and so can be proposed now.
 func (c *Reconciler) HandleFreed(resources []cluster.Resource) (unblocked bool) {
 	for _, r := range resources {
 		if c.requested[r].blocked {
--- a/cluster/lease/snapshot.go
+++ b/cluster/lease/snapshot.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 )
 
-// tableFormat is raised when an older program could no longer read a snapshot.
+// tableFormat is the version of the snapshot format. It is raised when older programs can no longer read a snapshot.
 const tableFormat = 1
 
 type tableImage struct {
@@ -31,7 +31,7 @@
 	Session  cluster.SessionID `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot encodes the table; the bytes are the same on each raft node.
+// Snapshot encodes the table. The bytes are the same on each raft node.
 func (t *Table) Snapshot() ([]byte, error) {
 	image := tableImage{Format: tableFormat, LastID: t.lastID, LeaderEpoch: t.leaderEpoch}
 	for _, id := range t.Sessions() {
@@ -53,8 +53,8 @@
 	return codec.Marshal(image)
 }
 
-// Restore replaces the table by a snapshot. With ErrUnreadable, for one that can't be decoded, has a newer
-// format or contradicts itself, the table is as it was.
+// Restore replaces the table by a snapshot. It returns ErrUnreadable, and leaves the table unchanged, if the snapshot
+// can't be decoded, has a newer format or is inconsistent.
 func (t *Table) Restore(snapshot []byte) error {
 	var image tableImage
 	if err := codec.Unmarshal(snapshot, &image); err != nil {
--- a/cluster/lease/table.go
+++ b/cluster/lease/table.go
@@ -7,9 +7,9 @@
 	"rowanlink/cluster"
 )
 
-// Table is the replicated component: the open sessions, the leases that they hold, and the last epoch of each
-// resource. It has no notion of time. Session ids and epochs are log indexes, but never fall: they go on rising
-// even if the log were recreated with lower indexes.
+// Table is the replicated state of leases: the open sessions, the leases that they hold, and the last epoch of each
+// resource. It contains no times; ExpiryTracker has those. Session ids and epochs are log indexes, but never fall:
+// they keep rising even if the log is recreated with lower indexes.
 //
 // A Table is not safe for concurrent use.
 type Table struct {
@@ -48,10 +48,12 @@
 	}
 }
 
-// Apply executes one Operation and returns the encoded Result. Errors, each of which changes nothing:
-// ErrUnreadable; cluster.ErrNotFound if the session has ended or never existed; cluster.ErrFenced for the
-// release of a grant that the session no longer holds; cluster.ErrStale for the end of a session whose expiry
-// was found in an earlier leader epoch.
+// Apply executes an encoded Operation, the log entry with the given index, and returns the encoded Result. If it
+// returns an error, nothing has changed:
+//   - ErrUnreadable: the operation can't be decoded or is invalid.
+//   - cluster.ErrNotFound: the session has ended or never existed.
+//   - cluster.ErrFenced: the session no longer holds the grant that it releases.
+//   - cluster.ErrStale: the expiry of the session was found in an earlier leader epoch.
 func (t *Table) Apply(index uint64, body []byte) ([]byte, error) {
 	op, err := decodeOperation(body)
 	if err != nil {
@@ -87,8 +89,9 @@
 	return codec.MustMarshal(result), nil
 }
 
-// openSession leaves sessions of earlier incarnations of the member to expire: the old process may only be
-// stopped, or another one may run from a copy of its folder, and still rely on its session.
+// openSession returns the open session of a member's incarnation, or opens one. Sessions of earlier incarnations are
+// left to expire: the old process may only be paused, or another process may run from a copy of its data folder, and
+// either still relies on its session.
 func (t *Table) openSession(index uint64, owner sessionOwner) cluster.SessionID {
 	if id := t.openSessions[owner]; id != 0 {
 		return id
@@ -110,7 +113,8 @@
 
 func (t *Table) release(r cluster.Resource) { t.leases[r] = leaseState{epoch: t.leases[r].epoch} }
 
-// acquire grants what is free. All resources granted by one operation get the same epoch.
+// acquire grants the leases that are free. All resources granted by one operation get the same epoch; a lease that
+// another session holds is returned with epoch 0.
 func (t *Table) acquire(index uint64, id cluster.SessionID, resources []cluster.Resource) (grants []Grant) {
 	var epoch cluster.Epoch
 	for _, resource := range resources {
@@ -149,13 +153,14 @@
 	}, true
 }
 
-// IsCurrent reports whether the lease on a resource is held by the grant with this epoch.
+// IsCurrent reports whether the lease on a resource is held under the grant with this epoch.
 func (t *Table) IsCurrent(r cluster.Resource, e cluster.Epoch) bool {
 	state := t.leases[r]
 	return state.session != 0 && state.epoch == e
 }
 
-// LastEpoch returns the epoch of the resource's last grant, held or released; 0 if it was never granted.
+// LastEpoch returns the epoch of the resource's last grant, whether it is held or released; 0 if the lease was never
+// granted.
 func (t *Table) LastEpoch(r cluster.Resource) cluster.Epoch { return t.leases[r].epoch }
 
 // Sessions returns the open sessions, oldest first.
