--- a/cluster/shardmap/admission.go
+++ b/cluster/shardmap/admission.go
@@ -5,14 +5,14 @@
 	"rowanlink/webhook/api"
 )
 
-// Admission is a member's answer to a webhook that was forwarded to it.
+// Admission is a member's answer to a webhook that another member forwarded to it.
 type Admission uint8
 
 // The answers. The numbers are encoded.
 const (
-	AdmissionAccepted   Admission = iota + 1 // it is journalled here and this member has custody of it
-	AdmissionRedirected                      // by a newer map it belongs to another owner
-	AdmissionMapStale                        // this member's own map is the older one: try later
+	AdmissionAccepted   Admission = iota + 1 // the member has journalled the webhook and has custody of it
+	AdmissionRedirected                      // by this member's map, which is newer, another member owns the range
+	AdmissionMapStale                        // this member's map is older than the sender's: try again later
 )
 
 // AdmitKey returns a member's answer to a webhook that was forwarded by the given version of the map. With
@@ -21,7 +21,7 @@
 	decision := m.DecideKey(member, key)
 	r, isMapped := m.RangeOf(key)
 	switch {
-	case isMapped && r.Owner == member.Member: // also when parked: it is this member's to take
+	case isMapped && r.Owner == member.Member: // even if the webhook is parked: this member is the one to take it
 		return AdmissionAccepted, decision
 	case !isMapped || senderVersion > m.Version:
 		return AdmissionMapStale, decision
@@ -40,13 +40,14 @@
 	return admission, decision
 }
 
-// MaxRedirects bounds how often one webhook is forwarded again, in one attempt, after a member named another owner.
+// MaxRedirects bounds how often one attempt to forward a webhook follows a redirect to another owner.
 const MaxRedirects = 1
 
-// ShouldFollowRedirect reports whether the sender of a forwarded webhook tries the owner that a rejection named, after
-// so many redirects. sent is the decision that it was forwarded by, redirect the one that came with the rejection. Since
-// each redirect needs a strictly newer map, and MaxRedirects bounds their number, there is no loop. Otherwise the sender
-// keeps the webhook until its map is as new as the one of the rejection.
+// ShouldFollowRedirect reports whether the sender of a forwarded webhook forwards it again, to the owner that a
+// rejection named, after the given number of redirects. sent is the decision by which the webhook was forwarded;
+// redirect is the one that came with the rejection. There is no loop, since each redirect requires a strictly newer
+// map and MaxRedirects bounds their number. If the result is false, the sender keeps the webhook until its map is as
+// new as the one of the rejection.
 func ShouldFollowRedirect(sent, redirect Decision, admission Admission, redirects int) bool {
 	return admission == AdmissionRedirected &&
 		redirect.Version > sent.Version &&
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -7,8 +7,9 @@
 )
 
 // Apply applies a command of the log and returns its encoded result. A command that is rejected changes nothing:
-// cluster.ErrNotFound when there is no such range or move, cluster.ErrStale when the map or the move has advanced,
-// cluster.ErrAlreadyHeld when a lease is held by another member than the command requires.
+//   - cluster.ErrNotFound: there is no such range or move.
+//   - cluster.ErrStale: the map or the move has advanced since the command was proposed.
+//   - cluster.ErrAlreadyHeld: a lease is held by another member than the command requires.
 func (m *Map) Apply(index uint64, body []byte) ([]byte, error) {
 	var c command
 	if err := codec.Unmarshal(body, &c); err != nil {
@@ -63,7 +64,7 @@
 	return nil, m.confirmOwner(&m.Ranges[i], c)
 }
 
-// applyToMove applies a command that concerns the move c.Move before its switch.
+// applyToMove applies a command that concerns the move c.Move, which must not have switched yet.
 func (m *Map) applyToMove(c command) error {
 	move := m.findMove(c.Move)
 	switch {
--- a/cluster/shardmap/apply_moves.go
+++ b/cluster/shardmap/apply_moves.go
@@ -6,20 +6,21 @@
 	"rowanlink/cluster"
 )
 
-// isHeld reports whether a grant, by which an older map lets a part of a range be served, is still held.
+// isHeld reports whether a lease is still held under a prior grant, so that its holder may still serve a part of a
+// range by an older map.
 func (m *Map) isHeld(grant PriorGrant) bool {
 	holder, held := m.holders.Holder(cluster.RangeOwnerResource(grant.Range))
 	return held && holder.Epoch == grant.Epoch
 }
 
-// servedByNoneBut reports whether no member except one (nobody, if empty) can serve the range or a part of it, by
-// whatever version of the map.
-func (m *Map) servedByNoneBut(r *Range, member cluster.MemberID) bool {
+// canBeServedOnlyBy reports whether no member other than the given one can serve any part of the range, by whatever
+// version of the map. With an empty member it reports whether nobody can.
+func (m *Map) canBeServedOnlyBy(r *Range, member cluster.MemberID) bool {
 	holder, held := m.holders.Holder(cluster.RangeOwnerResource(r.ID))
 	return (!held || holder.Member == member) && !slices.ContainsFunc(r.PriorGrants, m.isHeld)
 }
 
-// holdsLease reports whether a member holds the lease on a range by the given epoch.
+// holdsLease reports whether a member holds the lease on a range with the given epoch.
 func (m *Map) holdsLease(id cluster.RangeID, member cluster.MemberID, epoch cluster.Epoch) bool {
 	holder, held := m.holders.Holder(cluster.RangeOwnerResource(id))
 	return held && holder.Member == member && holder.Epoch == epoch
@@ -33,8 +34,9 @@
 	return nil
 }
 
-// confirmOwner records the lease by which a range's owner serves. During a hand-off it is rejected, so that a source
-// that has released the lease for the move and acquires it anew does not serve again: only opRevertMove allows that.
+// confirmOwner records the lease under which a range's owner serves. During a hand-off it is rejected: otherwise a
+// source that has released the lease for the move and acquires it again would serve again, which only opRevertMove
+// allows.
 func (m *Map) confirmOwner(r *Range, c command) error {
 	switch {
 	case r.Owner != c.Member || c.Epoch <= r.Epoch || r.Move.Step == StepHandoff:
@@ -48,15 +50,15 @@
 	return nil
 }
 
-// switchOwner makes a move's target the owner. The target must hold the lease, so that nobody else does: this is what
-// keeps two members from calling for one range.
+// switchOwner makes a move's target the owner. The target must hold the lease, which means that nobody else does:
+// this prevents two members from making calls for one range.
 func (m *Map) switchOwner(c command) error {
 	i := slices.IndexFunc(m.Ranges, func(r Range) bool { return r.Move.ID == c.Move })
 	r := &m.Ranges[i]
 	switch {
 	case r.Move.Step != StepHandoff || r.Move.To != c.Member:
 		return cluster.ErrStale
-	case !m.holdsLease(r.ID, c.Member, c.Epoch) || !m.servedByNoneBut(r, c.Member):
+	case !m.holdsLease(r.ID, c.Member, c.Epoch) || !m.canBeServedOnlyBy(r, c.Member):
 		return cluster.ErrAlreadyHeld
 	}
 	r.Owner, r.Epoch, r.Status = c.Member, c.Epoch, OwnerServing
@@ -65,8 +67,9 @@
 	return nil
 }
 
-// failOver gives ranges to new owners where the previous ones no longer hold them. A switched move is detached, to be
-// cleared on its own; one that has not switched is reverted.
+// failOver gives ranges to new owners where the previous ones no longer hold their leases. A move that has switched
+// is detached from its range, to be cleared on its own; one that has not switched is reverted. It returns an error
+// only if no takeover is valid.
 func (m *Map) failOver(takeovers []Takeover) (changed []cluster.RangeID, err error) {
 	err = cluster.ErrNotFound
 	for _, t := range takeovers {
@@ -76,7 +79,7 @@
 			continue
 		}
 		r := &m.Ranges[i]
-		if !m.servedByNoneBut(r, "") {
+		if !m.canBeServedOnlyBy(r, "") {
 			err = cluster.ErrAlreadyHeld
 			continue
 		}
@@ -93,7 +96,8 @@
 	return nil, err
 }
 
-// clearMove records that one side of a switched move has cleared its copies, and removes the move once both have.
+// clearMove records that one side of a switched move has no copies of its webhooks left. Once neither side has any,
+// the move is removed.
 func (m *Map) clearMove(c command) error {
 	move := m.findMove(c.Move)
 	switch {
--- a/cluster/shardmap/apply_ranges.go
+++ b/cluster/shardmap/apply_ranges.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 )
 
-// maxRanges bounds what a faulty command can make a raft node store.
+// maxRanges limits how many ranges a faulty command can make a raft node store.
 const maxRanges = 1 << 16
 
 // initialize creates the first map.
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// EvenRanges returns the ranges of a first map: n of equal size, distributed by weight, those of one member adjacent.
+// EvenRanges returns the n ranges of a first map. They are of equal size and distributed among the members by weight;
+// the ranges of one member are adjacent.
 func EvenRanges(n int, members []MemberWeight) ([]Range, error) {
 	total, err := totalWeight(members)
 	if err != nil {
@@ -35,7 +36,7 @@
 		return nil, fmt.Errorf("shardmap: %d ranges for a total weight of %v", n, total)
 	}
 	size := uint64(maxKeyHash) / uint64(n)
-	member, cumulative := 0, members[0].Weight // cumulative: of the members up to and including this one
+	member, cumulative := 0, members[0].Weight // cumulative is the weight of the members up to and including this one
 	ranges := make([]Range, n)
 	for i := range ranges {
 		for member < len(members)-1 &&
@@ -67,8 +68,9 @@
 	return total, nil
 }
 
-// split leaves the lower part the owner's present lease. The upper part gets a lease of its own; until its owner has
-// confirmed that one, it may still serve the part by an older map, which the added prior grant records.
+// split divides the range at index i. The lower part keeps the current lease. The upper part becomes a range with a
+// lease of its own. Until its owner has confirmed that lease, the owner may still serve the upper part under the old
+// lease by an older map; the added prior grant records this.
 func (m *Map) split(now cluster.Version, i int, key cluster.KeyHash) (cluster.RangeID, error) {
 	r := m.Ranges[i]
 	if !r.IsStable() || len(m.Ranges) >= maxRanges {
@@ -91,7 +93,8 @@
 	return upper.ID, nil
 }
 
-// merge extends the range at index i by an adjacent one. The grant by which that one was served stays recorded.
+// merge extends the range at index i by an adjacent range. The grant under which the adjacent one was served stays
+// recorded as a prior grant.
 func (m *Map) merge(now cluster.Version, i int, otherID cluster.RangeID) error {
 	k := m.indexOf(otherID)
 	if k < 0 {
--- a/cluster/shardmap/clock_offset.go
+++ b/cluster/shardmap/clock_offset.go
@@ -2,17 +2,18 @@
 
 import "rowanlink/webhook/api"
 
-// ClockOffset estimates by how much a member's own clock is ahead of another's, from the messages that the other
-// sends: the least lag of any message, which is as exact as the fastest message was fast. The zero value has observed
-// none.
+// ClockOffset estimates by how much a member's own clock is ahead of another member's, from the messages that the
+// other sends. The lag of a message is the time of its arrival by the own clock, minus the time at which it was sent
+// by the sender's clock. The estimate is the least lag, whose error is the transmission time of the fastest message.
+// The zero value has no observations.
 type ClockOffset struct {
 	leastLag, observedAt api.Micros
 	hasObservation       bool
 }
 
-// Observe takes the time a message was sent, by its sender's clock, and returns the estimated offset. maxDrift is the
-// largest difference in rate of the two clocks, as a fraction: by it the least lag of earlier messages grows less exact
-// with time.
+// Observe records a message that was sent at sentAt, by its sender's clock, and arrives now. It returns the estimated
+// offset. maxDrift is the largest difference in rate of the two clocks, as a fraction. The least lag of earlier
+// messages is increased by the drift that is possible since then.
 func (c *ClockOffset) Observe(sentAt, now api.Micros, maxDrift float64) api.Micros {
 	lag := now - sentAt
 	if c.hasObservation {
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -8,7 +8,7 @@
 // codec encodes and decodes commands, results and maps.
 var codec = strictcbor.New(strictcbor.Options{RejectUnknownFields: true})
 
-// operation is the kind of a command. The numbers are in the raft log.
+// operation is the kind of a command. The numbers are stored in the raft log.
 type operation uint8
 
 const (
@@ -27,13 +27,13 @@
 	opSweepMisplaced
 )
 
-// MemberWeight is a member's share of the first map. A member of weight 0 gets no range.
+// MemberWeight is a member's share of the ranges in the first map. A member of weight 0 gets no range.
 type MemberWeight struct {
 	Member cluster.MemberID `cbor:"1,keyasint"`
 	Weight float64          `cbor:"2,keyasint"`
 }
 
-// Takeover gives a range, whose owner is lost, to another member.
+// Takeover assigns a range, whose owner is lost, to another member.
 type Takeover struct {
 	Range         cluster.RangeID  `cbor:"1,keyasint"`
 	PreviousOwner cluster.MemberID `cbor:"2,keyasint"`
@@ -51,15 +51,15 @@
 	Epoch     cluster.Epoch    `cbor:"7,keyasint,omitempty"`
 	Move      MoveID           `cbor:"8,keyasint,omitempty"`
 	Step      MoveStep         `cbor:"9,keyasint,omitempty"`
-	Seen      cluster.Version  `cbor:"10,keyasint,omitempty"` // map version that the proposer serves by
+	Seen      cluster.Version  `cbor:"10,keyasint,omitempty"` // version of the map that the proposer serves by
 	Count     int              `cbor:"11,keyasint,omitempty"` // opInitialize: the number of ranges
 	Members   []MemberWeight   `cbor:"12,keyasint,omitempty"`
 	Takeovers []Takeover       `cbor:"13,keyasint,omitempty"`
 	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
-// encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. With an empty resource
-// it is not fenced.
+// encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. If the resource is
+// empty, the entry is not fenced.
 func (c command) encode(resource cluster.Resource, epoch cluster.Epoch) cluster.Command {
 	body, err := codec.Marshal(c)
 	if err != nil {
@@ -81,17 +81,18 @@
 	return e.command(command{Op: opInitialize, Count: n, Members: members})
 }
 
-// Split makes the part of a range from key on a range of its own, with the same owner. The result is its id.
+// Split splits a range at key: the part from key on becomes a new range with the same owner. The result is the id of
+// the new range.
 func (e Coordinator) Split(id cluster.RangeID, key cluster.KeyHash) cluster.Command {
 	return e.command(command{Op: opSplit, Range: id, Key: key})
 }
 
-// Merge makes b a part of a. The two must be adjacent and stable and have the same owner.
+// Merge merges range b into range a. The two must be adjacent and stable and have the same owner.
 func (e Coordinator) Merge(a, b cluster.RangeID) cluster.Command {
 	return e.command(command{Op: opMerge, Range: a, Other: b})
 }
 
-// PlanMove plans the move of a stable range. The result is the move's id.
+// PlanMove plans the move of a stable range. The result is the id of the move.
 func (e Coordinator) PlanMove(id cluster.RangeID, from, to cluster.MemberID) cluster.Command {
 	return e.command(command{Op: opPlanMove, Range: id, From: from, Member: to})
 }
@@ -107,17 +108,19 @@
 }
 
 // FailOver gives ranges whose owners no longer hold their leases to other members. It applies each takeover for which
-// that is so, and is rejected when it is so for none. The result is the ids of the ranges that changed.
+// this is the case, and is rejected if there is none. The result is the ids of the ranges that changed.
 func (e Coordinator) FailOver(takeovers []Takeover) cluster.Command {
 	return e.command(command{Op: opFailOver, Takeovers: takeovers})
 }
 
-// Place sets the groups of destinations that are placed together; all others are placed by their own hash.
+// Place sets the groups of destinations that are placed together. All other destinations are placed by their own
+// hash.
 func (e Coordinator) Place(groups []PlacementGroup) cluster.Command {
 	return e.command(command{Op: opPlace, Groups: groups})
 }
 
-// SweepMisplaced removes misplaced destinations whose grant has ended without its holder confirming the placement.
+// SweepMisplaced removes the records of misplaced destinations whose grant has ended without its holder confirming
+// the new placement.
 func (e Coordinator) SweepMisplaced() cluster.Command {
 	return e.command(command{Op: opSweepMisplaced})
 }
@@ -131,9 +134,9 @@
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
-// SwitchOwner makes a move's target the range's owner. The target proposes it once it holds the range's lease: the
-// previous holder has released the lease or it has ended, so that the map and the right to call change at one point
-// of the log.
+// SwitchOwner makes a move's target the range's owner. The target proposes it once it holds the range's lease, which
+// the previous holder has released or lost. The owner in the map and the right to call thus change at one point of
+// the log.
 func SwitchOwner(
 	move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch,
 ) cluster.Command {
@@ -141,14 +144,14 @@
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
-// ClearMove states that a member has no copies left that a switched move must account for. For a member that never
-// comes back, the coordinator proposes it.
+// ClearMove states that a member has no copies of webhooks left that a switched move must account for. The
+// coordinator proposes it for a member that never comes back.
 func ClearMove(move MoveID, member cluster.MemberID) cluster.Command {
 	return command{Op: opClearMove, Move: move, Member: member}.encode("", 0)
 }
 
-// ConfirmPlacement states that the owner of a range serves by a map as new as seen, and that no call is in flight of
-// the destinations that were placed elsewhere up to then.
+// ConfirmPlacement states that the owner of a range serves by the map of version seen or a newer one, and that it has
+// no call in flight for a destination that was placed elsewhere up to that version.
 func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
 	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
--- a/cluster/shardmap/custody_source.go
+++ b/cluster/shardmap/custody_source.go
@@ -2,9 +2,9 @@
 
 import "rowanlink/webhook/api"
 
-// BeginOffer records that a webhook that is here is about to be offered, and returns the number of the hand-off: the
-// same as before if it is offered again to the member that it may have reached. It returns false if another member may
-// have it, which must be queried first.
+// BeginOffer records that a webhook held here is about to be offered, and returns the number of the hand-off. If the
+// webhook is offered again to the member that may already have it, the number is the same as before. BeginOffer
+// returns false if another member may have the webhook; that member must be queried first.
 func (t *CustodyTable) BeginOffer(id WebhookID, ttl api.Micros, offer Offer) (HandoffNumber, bool) {
 	r := t.recordOf(id, ttl)
 	if r.hasOffer() {
@@ -15,10 +15,10 @@
 	return r.Handoff, true
 }
 
-// RecordUnansweredForward records that the member that accepted a webhook from its client forwarded it, before there
-// was a record, and had no answer. It returns false if the webhook has come back since: then it was taken there, and
-// this member keeps nothing. handoff is the number that it was sent with, which a query may have raised meanwhile; by
-// another number no member could tell whether it took the webhook.
+// RecordUnansweredForward records that this member accepted a webhook from its client, forwarded it without a record,
+// and got no answer. handoff is the number with which the webhook was sent: by another number no member could tell
+// whether it took the webhook, and a query may have raised the next number meanwhile. It returns false if the webhook
+// has come back since: the other member had taken it, and this one keeps no copy.
 func (t *CustodyTable) RecordUnansweredForward(
 	id WebhookID, handoff HandoffNumber, ttl api.Micros, offer Offer,
 ) bool {
@@ -39,7 +39,7 @@
 	return 1
 }
 
-// OutstandingOffer returns the offer of a webhook whose outcome is not known, and its number.
+// OutstandingOffer returns the offer of a webhook whose outcome is unknown, and the number of the offer.
 func (t *CustodyTable) OutstandingOffer(id WebhookID) (Offer, HandoffNumber, bool) {
 	if r := t.records[id]; r != nil && r.hasOffer() {
 		return r.Offer, r.Handoff, true
@@ -47,8 +47,8 @@
 	return Offer{}, 0, false
 }
 
-// HandleReply takes a reply to the offer with a number and returns who has the webhook: DropCopy, KeepCopy, or
-// StayInDoubt. A reply to an offer that is not the outstanding one changes nothing.
+// HandleReply processes a reply to the offer with the given number and returns what follows for the copy here:
+// DropCopy, KeepCopy or StayInDoubt. A reply to an offer that is not the outstanding one changes nothing.
 func (t *CustodyTable) HandleReply(id WebhookID, handoff HandoffNumber, reply CustodyReply) Resolution {
 	r := t.records[id]
 	if r == nil || !r.hasOffer() || r.Handoff != handoff {
@@ -59,7 +59,7 @@
 		r.Present, r.Offer = false, Offer{}
 		return DropCopy
 	case reply == CustodyNever,
-		reply == CustodyRejected && !r.Offer.Uncertain: // if uncertain, an earlier attempt may still arrive
+		reply == CustodyRejected && !r.Offer.Uncertain: // if uncertain, an earlier attempt may still arrive and be taken
 		r.Offer = Offer{}
 		return KeepCopy
 	}
@@ -67,8 +67,9 @@
 	return StayInDoubt
 }
 
-// Fork ends a doubt without knowing who has the webhook: this member has a copy too, and continues with numbers above
-// all that the other branch can reach, so that a member that meets both branches keeps one.
+// Fork ends a doubt without knowing who has the webhook: this member keeps its copy, and another member may have one
+// too. This member continues with numbers above all that the other branch can reach, so that a member that meets both
+// branches keeps one.
 func (t *CustodyTable) Fork(id WebhookID) {
 	if r := t.records[id]; r != nil {
 		r.Offer = Offer{}
--- a/cluster/shardmap/custody_table.go
+++ b/cluster/shardmap/custody_table.go
@@ -6,36 +6,38 @@
 )
 
 // CustodyTable records, for one member, who has custody of each webhook that came from or was offered to another
-// member, as far as this member can tell. A record outlives its webhook, until no message about it can be in flight.
+// member, as far as this member can tell. A record outlives its webhook until no message about the webhook can be in
+// flight.
 //
-// The protocol is a custody transfer with an in-doubt state, as in two-phase commit. A webhook is in the custody of one
-// member. Its custodian offers it to another, and makes no call for it until it knows who has it. CustodyTaken ends the
-// custodian's own right; CustodyNever is binding for the member that answers it. So no two members have custody at
-// once, whatever messages are lost, late or duplicated. A member that was offered a webhook has custody from its own
-// record on.
+// The protocol is a custody transfer with an in-doubt state, as in two-phase commit. A webhook is in the custody of
+// one member. This custodian offers it to another member, and makes no call for it until it knows which of the two
+// has it. The answer CustodyTaken ends the custodian's right to call; the answer CustodyNever binds the member that
+// gives it. So no two members have custody at once, whatever messages are lost, late or duplicated. A member that
+// takes an offered webhook has custody as soon as its own record says so.
 //
-// The methods change the table in memory. Callers journal the record, see Lookup, before they send what it decides.
+// The methods change the table in memory. Before the caller sends a message that depends on a record, it journals the
+// record; see Lookup.
 type CustodyTable struct {
 	records  map[WebhookID]*CustodyRecord
 	expiries timerqueue.Queue[WebhookID]
 }
 
-// NewCustodyTable returns a table with the records that an earlier process journalled, the last one of each webhook.
-// isOutstanding reports whether that process still had the webhook.
+// NewCustodyTable returns a table with the records that an earlier process journalled; earlier has the last record of
+// each webhook. isOutstanding reports whether that process still had the webhook.
 func NewCustodyTable(earlier []CustodyRecord, isOutstanding func(WebhookID) bool) *CustodyTable {
 	t := &CustodyTable{records: map[WebhookID]*CustodyRecord{}}
 	for _, r := range earlier {
 		if r.hasOffer() {
 			r.Offer.Uncertain = true
-			if !isOutstanding(r.ID) { // its end was journalled before this record: it was handed off, or ended
+			if !isOutstanding(r.ID) { // handed off or ended: that was journalled, but not the record after it
 				r.Offer, r.Present = Offer{}, false
 			}
 		}
 		if r.Arriving {
 			r.Arriving = false
-			if !isOutstanding(r.ID) { // it was never stored: see ConfirmStored
+			if !isOutstanding(r.ID) { // the webhook was never stored: see ConfirmStored
 				r.Present = false
-				r.Handoff = max(r.Handoff, 1) - 1 // it was not taken by this one
+				r.Handoff = max(r.Handoff, 1) - 1 // the hand-off with this number did not take place
 			}
 		}
 		*t.recordOf(r.ID, r.TTL) = r
@@ -43,7 +45,7 @@
 	return t
 }
 
-// recordOf returns the record of a webhook, a new one if there is none.
+// recordOf returns the record of a webhook, and creates it if there is none.
 func (t *CustodyTable) recordOf(id WebhookID, ttl api.Micros) *CustodyRecord {
 	r := t.records[id]
 	if r == nil {
@@ -54,7 +56,7 @@
 	return r
 }
 
-// Lookup returns the record of a webhook, to be journalled.
+// Lookup returns the record of a webhook, which the caller journals.
 func (t *CustodyTable) Lookup(id WebhookID) (CustodyRecord, bool) {
 	if r := t.records[id]; r != nil {
 		return *r, true
@@ -62,8 +64,9 @@
 	return CustodyRecord{}, false
 }
 
-// Rollback restores the record that a webhook had before: the new one could not be journalled, or what it was for did
-// not happen. RejectedUpTo does not go back, since it may have been sent.
+// Rollback restores the record that a webhook had before, because the new one could not be journalled or the action
+// that it was made for did not happen. RejectedUpTo is not lowered, since an answer that promised it may have been
+// sent.
 func (t *CustodyTable) Rollback(id WebhookID, before CustodyRecord, existed bool) {
 	r := t.records[id]
 	if !existed {
@@ -76,8 +79,8 @@
 	}
 }
 
-// Expire removes the records of webhooks that expired more than slack ago. slack is by how much clocks differ and
-// messages may be late.
+// Expire removes the records of webhooks that expired more than slack ago. slack allows for differences between
+// clocks and for late messages.
 func (t *CustodyTable) Expire(now, slack api.Micros) {
 	deadline := int64(now - slack)
 	for id, ok := t.expiries.PopDue(deadline); ok; id, ok = t.expiries.PopDue(deadline) {
@@ -88,7 +91,7 @@
 // Len returns the number of records.
 func (t *CustodyTable) Len() int { return len(t.records) }
 
-// CountOffersOfMove returns the number of offers by a move whose outcome is not known.
+// CountOffersOfMove returns the number of offers that belong to a move and whose outcome is unknown.
 func (t *CustodyTable) CountOffersOfMove(move MoveID) int {
 	n := 0
 	for _, r := range t.records {
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -2,16 +2,16 @@
 
 import "rowanlink/webhook/api"
 
-// CustodyReply is a member's answer to an offer of a webhook, or to the query whether it has taken one.
+// CustodyReply is a member's answer to an offer of a webhook, or to a query whether it has taken a webhook.
 type CustodyReply uint8
 
 // The answers. The numbers are encoded.
 const (
 	CustodyUnknown   CustodyReply = iota // the member can't be reached, or can't tell yet
-	CustodyTaken                         // it has taken the webhook: in custody, ended or handed off
-	CustodyNever                         // it has not, and is bound never to take it by this hand-off
-	CustodyStateLost                     // its folder is not the one of that time: it can't tell
-	CustodyRejected                      // not by this attempt
+	CustodyTaken                         // it has taken the webhook: it is in custody there, has ended or was handed off
+	CustodyNever                         // it has not taken the webhook, and is bound never to take it by this hand-off
+	CustodyStateLost                     // its data folder was replaced since the offer, so it can't tell
+	CustodyRejected                      // it has not taken the webhook by this attempt; another attempt may still be taken
 )
 
 // OfferOutcome is what a member does with a webhook that it was offered.
@@ -19,17 +19,17 @@
 
 // The outcomes.
 const (
-	// OfferNotTaken: nothing, for the reason in the reply.
+	// OfferNotTaken: the member does nothing, for the reason in the reply.
 	OfferNotTaken OfferOutcome = iota
-	// OfferTaken: it journals the record and the webhook before it sends CustodyTaken, and calls ConfirmStored, or
-	// Rollback if that fails.
+	// OfferTaken: the member journals the record and the webhook before it sends CustodyTaken, and calls ConfirmStored;
+	// if journalling fails, it calls Rollback.
 	OfferTaken
-	// OfferReturnsCopy: the webhook was here in doubt and has come back; custody is this member's again.
+	// OfferReturnsCopy: the webhook was in doubt here and has come back; this member has custody again.
 	OfferReturnsCopy
 )
 
-// HandleOffer decides about a webhook that another member offers. admitted is whether it is this member's to take by
-// the map. The reply is CustodyUnknown while an earlier offer of the same webhook is being stored.
+// HandleOffer decides about a webhook that another member offers. admitted states whether, by the map, this member
+// may take the webhook. The reply is CustodyUnknown while an earlier offer of the same webhook is being stored.
 func (t *CustodyTable) HandleOffer(
 	id WebhookID, handoff HandoffNumber, ttl, now api.Micros, admitted bool,
 ) (CustodyReply, OfferOutcome) {
@@ -37,13 +37,13 @@
 	isKnown := r != nil
 	switch {
 	case isKnown && r.Arriving:
-		return CustodyUnknown, OfferNotTaken // so that no CustodyTaken has to be revoked
-	case isKnown && handoff == r.Handoff && r.isInDoubt(): // another branch of a fork, whose number was used here too
+		return CustodyUnknown, OfferNotTaken // storing may fail, and a CustodyTaken could not be revoked
+	case isKnown && handoff == r.Handoff && r.isInDoubt(): // from another branch of a fork, which used this number too
 		return CustodyRejected, OfferNotTaken
 	case isKnown && handoff <= r.Handoff:
 		return CustodyTaken, OfferNotTaken
 	case isKnown && r.Present && !r.hasOffer():
-		r.Handoff = handoff // another branch of a fork: one custodian is enough
+		r.Handoff = handoff // from another branch of a fork: one custodian is enough
 		return CustodyTaken, OfferNotTaken
 	case isKnown && handoff <= r.RejectedUpTo || now >= ttl:
 		return CustodyNever, OfferNotTaken
@@ -58,24 +58,25 @@
 	return CustodyTaken, OfferTaken
 }
 
-// ReturnsCopy reports whether an offer with this number brings back a webhook that is here in doubt. What it brings
-// along is journalled before HandleOffer is called.
+// ReturnsCopy reports whether an offer with this number brings back a webhook that is in doubt here. The caller
+// journals the data that comes with such an offer before it calls HandleOffer.
 func (t *CustodyTable) ReturnsCopy(id WebhookID, handoff HandoffNumber) bool {
 	r := t.records[id]
 	return r != nil && r.isInDoubt() && handoff > r.Handoff
 }
 
-// ConfirmStored records that a webhook that was taken is in the webhook journal. The record is journalled again before
-// the webhook may be called: a later process that finds it arriving, and no webhook, knows that it was never stored.
+// ConfirmStored records that a webhook that was taken is in the webhook journal. The caller journals the record again
+// before the webhook may be called: a later process that finds a record with Arriving set, and no webhook, concludes
+// that the webhook was never stored.
 func (t *CustodyTable) ConfirmStored(id WebhookID) {
 	if r := t.records[id]; r != nil {
 		r.Arriving = false
 	}
 }
 
-// HandleQuery answers whether a webhook was taken by a hand-off. If mustJournal, the record is new and is journalled
-// before the answer is sent: after CustodyNever an offer that is still in flight arrives in vain, after CustodyTaken
-// hand-offs continue from this number.
+// HandleQuery answers whether a webhook was taken by a hand-off. If mustJournal is true, the record has changed and
+// must be journalled before the answer is sent: after CustodyNever, an offer that is still in flight must be
+// rejected; after CustodyTaken, hand-offs must continue from this number.
 func (t *CustodyTable) HandleQuery(
 	id WebhookID, handoff HandoffNumber, ttl api.Micros,
 ) (reply CustodyReply, mustJournal bool) {
@@ -89,7 +90,7 @@
 		r.Handoff = handoff
 		return CustodyTaken, true
 	}
-	// Also in doubt: the querying member may be the custodian.
+	// The answer is the same in doubt: the querying member may be the custodian.
 	mustJournal = handoff > r.RejectedUpTo
 	r.RejectedUpTo = max(r.RejectedUpTo, handoff)
 	return CustodyNever, mustJournal
--- a/cluster/shardmap/decision.go
+++ b/cluster/shardmap/decision.go
@@ -19,40 +19,41 @@
 	// ParkOwned: this member owns the range, but does not hold the lease that the map names, or hands the range off; the
 	// webhook is accepted and parked.
 	ParkOwned
-	// ServeIsolated: see IsolationSuspected; a webhook whose owner is unknown or unreachable is called at an even share of
-	// the destination's rate.
+	// ServeIsolated: possibly no range has a serving owner, see IsolationSuspected; this member calls webhooks whose owner
+	// is unknown or unreachable, at an even share of the destination's rate.
 	ServeIsolated
 )
 
-// Decision is what a member does with webhooks of a key hash, by which version of the map, and with whom.
+// Decision is what a member does with webhooks of a key hash, together with the version of the map that it follows
+// from and the member that owns the range.
 type Decision struct {
 	Action  Action           `cbor:"Do"`
 	Range   cluster.RangeID  `cbor:"Range"`
-	Epoch   cluster.Epoch    `cbor:"Epoch"` // by which the owner serves; with Serve it is the one to check before each call
+	Epoch   cluster.Epoch    `cbor:"Epoch"` // under which the owner serves; with Serve, to be checked before each call
 	Version cluster.Version  `cbor:"Version"`
 	Owner   cluster.MemberID `cbor:"To"`     // with Forward: where to forward to
 	Move    Move             `cbor:"Passes"` // with ParkOwned: the move that hands the outstanding webhooks off, if any
 }
 
-// LocalMember is what a member knows of its own right to call.
+// LocalMember is what a member knows about its own right to call.
 type LocalMember struct {
 	Member cluster.MemberID
-	// HeldEpoch returns the epoch of the lease that the member holds on a resource now, by its own clock.
+	// HeldEpoch returns the epoch of the lease that the member holds on a resource now, by its own clock; false if none.
 	HeldEpoch func(cluster.Resource) (cluster.Epoch, bool)
 	// Isolated is the member's result of IsolationSuspected.
 	Isolated bool
 }
 
-// holdsGrant reports whether the member holds the lease on a range by the given epoch.
+// holdsGrant reports whether the member holds the lease on a range with the given epoch.
 func (l LocalMember) holdsGrant(id cluster.RangeID, epoch cluster.Epoch) bool {
 	current, held := l.HeldEpoch(cluster.RangeOwnerResource(id))
 	return held && current == epoch
 }
 
-// DecideKey returns what a member does with webhooks of a key hash now. A call requires Serve or ServeIsolated when it
-// is begun and again before its last byte is sent. The decision is Serve only if the map names the member by the very
-// lease that it holds. A map from before a move does not name the leases granted after it, so that no outdated map lets
-// two members call.
+// DecideKey returns what a member does now with webhooks of a key hash. A call requires Serve or ServeIsolated when
+// it begins, and again before its last byte is sent. The decision is Serve only if the map names exactly the lease
+// that the member holds. A map from before a move does not name the leases granted after it, so an outdated map never
+// lets two members call.
 func (m *Map) DecideKey(member LocalMember, key cluster.KeyHash) Decision {
 	r, isMapped := m.RangeOf(key)
 	d := Decision{Range: r.ID, Epoch: r.Epoch, Version: m.Version, Owner: r.Owner}
@@ -80,15 +81,16 @@
 	return owner.holdsGrant(r.ID, r.Epoch) && r.Status == OwnerServing && r.Move.Step != StepHandoff
 }
 
-// IsolationSuspected reports whether possibly no range has a serving owner anywhere, as far as a member can tell: its
-// own session expired at expiredAt (api.Never: it has not) and a whole lease TTL has passed since, in which each session
-// that was renewed last before its own has ended too. If only this member is partitioned, the ranges do have owners;
-// then its calls come on top, at an even share of the rate at most.
+// IsolationSuspected reports whether possibly no range has a serving owner anywhere, as far as a member can tell. Its
+// own session expired at expiredAt (api.Never: it has not), and a whole lease TTL has passed since. Within this time
+// every session whose last renewal was before that of its own has ended too. If only this member is partitioned, the
+// ranges do have owners; its calls then come in addition to theirs, at an even share of the rate at most.
 func IsolationSuspected(expiredAt, now, ttl api.Micros) bool {
 	return expiredAt != api.Never && now-expiredAt > ttl
 }
 
-// RateShare returns the share of a destination's rate, 0 to 1, that the member may use in a cluster of so many members.
+// RateShare returns the share of a destination's rate, 0 to 1, that the member may use in a cluster with the given
+// number of members.
 func (d Decision) RateShare(members int) float64 {
 	switch d.Action {
 	case Serve:
@@ -99,8 +101,8 @@
 	return 0
 }
 
-// AllowsCall reports whether a webhook may be called now. While isolated, one of an ordered event type with a key may
-// not: an earlier one of its key may be at an owner that is unreachable.
+// AllowsCall reports whether a webhook may be called now. ordered: it belongs to an ordered event type and has a key.
+// Such a webhook may not be called while isolated: an earlier one of its key may be at an owner that is unreachable.
 func (d Decision) AllowsCall(ordered bool) bool {
 	return d.Action == Serve || d.Action == ServeIsolated && !ordered
 }
--- a/cluster/shardmap/failover.go
+++ b/cluster/shardmap/failover.go
@@ -8,11 +8,11 @@
 	"rowanlink/webhook/api"
 )
 
-// initialOwnerGrace is for how many lease TTLs an owner that has never served is waited for: the members of a cluster
+// initialOwnerGrace is the number of lease TTLs to wait for an owner that has never served: the members of a cluster
 // start one after another.
 const initialOwnerGrace = 2
 
-// Candidate is a member that can own ranges, with the most ranges that it may own; MaxRanges 0: no bound.
+// Candidate is a member that can own ranges. MaxRanges is the most ranges that it may own; 0: no bound.
 type Candidate struct {
 	MemberWeight
 	MaxRanges int
@@ -25,28 +25,28 @@
 	ownerlessSince map[cluster.RangeID]api.Micros
 }
 
-// NewFailoverPlanner returns a planner that has seen no range without an owner. ttl is that of a session.
+// NewFailoverPlanner returns a planner that has seen no range without an owner. ttl is the TTL of a session.
 func NewFailoverPlanner(ttl api.Micros) *FailoverPlanner {
 	return &FailoverPlanner{ttl: ttl, ownerlessSince: map[cluster.RangeID]api.Micros{}}
 }
 
-// Reset forgets what was seen; a member that stops being the coordinator calls it.
+// Reset discards what the planner has seen. A member calls it when it stops being the coordinator.
 func (p *FailoverPlanner) Reset() { clear(p.ownerlessSince) }
 
-// PlanTakeovers returns the takeovers that are due now, of ranges whose owner has no session. An owner that has served
-// has had its whole TTL by then; one that was only assigned gets initialOwnerGrace TTLs. A range goes to the candidate
-// with the least load for its weight; the parts that were split off it follow it.
+// PlanTakeovers returns the takeovers that are due now, of ranges whose owner has no session. An owner that has
+// served has had its whole TTL by then; an owner that was only assigned gets initialOwnerGrace TTLs. A range goes to
+// the candidate with the least load for its weight. Ranges that were split off it go to the same candidate.
 func (p *FailoverPlanner) PlanTakeovers(
 	m *Map, holders LeaseHolders, alive map[cluster.MemberID]bool, candidates []Candidate, now api.Micros,
 ) []Takeover {
 	owned := map[cluster.MemberID]int{}
 	for _, r := range m.Ranges {
-		if !r.SplitOff { // a part that was split off doesn't count
+		if !r.SplitOff { // a range that was split off doesn't count
 			owned[r.Owner]++
 		}
 	}
 	var takeovers []Takeover
-	var parent Takeover // of the range that the next ranges were split off
+	var parent Takeover // of the range that the following ranges were split off
 	for _, r := range m.Ranges {
 		if !r.SplitOff {
 			parent = Takeover{}
@@ -87,8 +87,8 @@
 	return r.Status == OwnerServing || now-p.ownerlessSince[r.ID] >= initialOwnerGrace*p.ttl
 }
 
-// leastLoaded returns the live candidate that has the least load for its weight with one range more, and is below its
-// bound. The bound does not apply to a part that was split off.
+// leastLoaded returns the live candidate below its bound that has the least load for its weight, counting one range
+// more. The bound does not apply to a range that was split off.
 func leastLoaded(
 	candidates []Candidate, alive map[cluster.MemberID]bool, owned map[cluster.MemberID]int, splitOff bool,
 ) (cluster.MemberID, bool) {
--- a/cluster/shardmap/map.go
+++ b/cluster/shardmap/map.go
@@ -1,5 +1,5 @@
 // Package shardmap holds the versioned shard map: which member owns which range of keys, and the steps by which a
-// range moves from one owner to another. It also holds what follows from the map for one member: which destinations
+// range moves from one owner to another. It also contains what follows from the map for one member: which destinations
 // it may serve, what it forwards, which forwarded webhooks it admits, and who has custody of a webhook that was handed
 // to another member.
 //
@@ -31,17 +31,18 @@
 	keys    map[api.DestinationID]cluster.KeyHash // of the destinations in Groups
 }
 
-// LeaseHolders reports who holds a lease according to the log. When the log reports a lease as ended, it has ended
-// at its holder too, by the holder's own clock: package lease ensures that before it ends a lease in the log.
+// LeaseHolders reports who holds a lease according to the log. When a lease has ended in the log, its holder no
+// longer acts under it, judged by the holder's own clock: package lease ensures this before it ends a lease in the
+// log.
 type LeaseHolders interface {
 	Holder(resource cluster.Resource) (holder cluster.LeaseHolder, held bool)
 }
 
-// New returns an empty map, as a raft node has it: holders is fed by the same log. A member's copy, which never
+// New returns an empty map for a raft node, where holders is fed by the same log. A member's copy, which never
 // applies commands, needs no holders.
 func New(holders LeaseHolders) *Map { return &Map{NextID: 1, holders: holders} }
 
-// RangeOf returns the range that contains a key hash. There is none before the first map.
+// RangeOf returns the range that contains a key hash; false if the map has no ranges yet.
 func (m *Map) RangeOf(key cluster.KeyHash) (Range, bool) {
 	compareEnd := func(r Range, k cluster.KeyHash) int { return cmp.Compare(r.To, k) }
 	i, _ := slices.BinarySearchFunc(m.Ranges, key, compareEnd)
@@ -64,7 +65,7 @@
 	return slices.IndexFunc(m.Ranges, func(r Range) bool { return r.ID == id })
 }
 
-// OpenMove returns a move that is in progress, or that has switched and was not cleared by both sides.
+// OpenMove returns the move with an id if it is in progress, or has switched and was not cleared by both sides.
 func (m *Map) OpenMove(id MoveID) (Move, bool) {
 	if move := m.findMove(id); move != nil {
 		return *move, true
@@ -72,7 +73,7 @@
 	return Move{}, false
 }
 
-// findMove returns an open move, of a range or detached, or nil.
+// findMove returns the open move with an id, of a range or detached, or nil.
 func (m *Map) findMove(id MoveID) *Move {
 	for i := range m.Ranges {
 		move := &m.Ranges[i].Move
--- a/cluster/shardmap/misplaced.go
+++ b/cluster/shardmap/misplaced.go
@@ -8,8 +8,9 @@
 	"rowanlink/webhook/api"
 )
 
-// MisplacedDestination is a destination that was placed in another range while the grant of its previous range was
-// held. By that grant and a map older than Grant.Since it may still be served there, and so nowhere else.
+// MisplacedDestination is a destination that was placed in another range while the lease of its previous range was
+// held under Grant. The holder may still serve the destination under this grant, by a map older than Grant.Since;
+// until this is ruled out, no other member may serve it.
 type MisplacedDestination struct {
 	Destination api.DestinationID `cbor:"1,keyasint"`
 	Grant       PriorGrant        `cbor:"2,keyasint"`
@@ -41,8 +42,8 @@
 	return m.Misplaced[first:last]
 }
 
-// MisplacedByGrant returns a member's own grants by which destinations were served that are placed elsewhere now, each
-// with these destinations. Since is 0 in the keys.
+// MisplacedByGrant returns the destinations that the member served under its own grants and that are placed elsewhere
+// now, by grant. Since is 0 in the keys.
 func (m *Map) MisplacedByGrant(member LocalMember) map[PriorGrant][]api.DestinationID {
 	destinations := map[PriorGrant][]api.DestinationID{}
 	for _, d := range m.Misplaced {
@@ -54,20 +55,21 @@
 	return destinations
 }
 
-// CountsToward reports whether calls of a destination count among a range's: while one is in flight, the range's lease
-// is not released.
+// CountsToward reports whether calls of a destination count among those of a range: while such a call is in flight,
+// the range's lease is not released.
 func (m *Map) CountsToward(r Range, destination api.DestinationID) bool {
 	return m.Contains(r, destination) || m.wasMisplacedFrom(r, destination)
 }
 
-// wasMisplacedFrom reports whether a destination that is placed elsewhere is, or was then, served by a range's grant.
+// wasMisplacedFrom reports whether a destination is recorded as misplaced from the range, under its current grant or
+// an earlier one.
 func (m *Map) wasMisplacedFrom(r Range, destination api.DestinationID) bool {
 	return slices.ContainsFunc(m.MisplacedOf(destination), func(d MisplacedDestination) bool {
 		return d.Grant.Range == r.ID
 	})
 }
 
-// removeMisplaced removes entries, and returns cluster.ErrStale if there are none to remove.
+// removeMisplaced removes the entries for which isResolved is true. It returns cluster.ErrStale if there are none.
 func (m *Map) removeMisplaced(isResolved func(MisplacedDestination) bool) error {
 	remaining := slices.DeleteFunc(slices.Clone(m.Misplaced), isResolved)
 	if len(remaining) == len(m.Misplaced) {
--- a/cluster/shardmap/move.go
+++ b/cluster/shardmap/move.go
@@ -2,19 +2,21 @@
 
 import "rowanlink/cluster"
 
-// MoveID identifies a move: it is the log index of the command that planned it. Like the map's version it only rises.
+// MoveID identifies a move. It is the log index of the command that planned the move and, like the version of the
+// map, only rises.
 type MoveID uint64
 
-// MoveStep is the progress of a move. Before StepSwitched a move can be reverted; afterwards it only goes forward.
+// MoveStep is the progress of a move. Before StepSwitched a move can be reverted; from then on it can only be
+// completed.
 type MoveStep uint8
 
 // The steps. The numbers are encoded.
 const (
 	StepNone     MoveStep = iota // no move
 	StepPlanned                  // nothing done yet
-	StepWarming                  // the target learns what the source knows of the destinations
-	StepHandoff                  // the source starts no call of the range and hands its outstanding webhooks to the target
-	StepSwitched                 // the target is the owner; both sides have copies to clear
+	StepWarming                  // the target learns what the source knows about the destinations
+	StepHandoff                  // the source starts no calls for the range and hands outstanding webhooks to the target
+	StepSwitched                 // the target is the owner; both sides still have copies of webhooks to clear
 )
 
 // Move is the transfer of a range from one owner to another.
@@ -23,15 +25,15 @@
 	From cluster.MemberID `cbor:"2,keyasint"`
 	To   cluster.MemberID `cbor:"3,keyasint"`
 	Step MoveStep         `cbor:"4,keyasint"`
-	// Once switched: which side has cleared its copies.
+	// Which side has cleared its copies, once the move has switched.
 	SourceCleared bool `cbor:"5,keyasint,omitempty"`
 	TargetCleared bool `cbor:"6,keyasint,omitempty"`
 }
 
-// IsOpen reports whether there is a move: in progress, or switched and not cleared by both sides.
+// IsOpen reports whether there is a move that is in progress, or that has switched and is not cleared by both sides.
 func (m Move) IsOpen() bool { return m.Step != StepNone }
 
-// MoveOwner states which side of a move owns the range, as far as a copy of the map shows.
+// MoveOwner states which side of a move owns the range, as far as a copy of the map shows it.
 type MoveOwner uint8
 
 // The sides.
@@ -42,8 +44,8 @@
 )
 
 // OwnerByMove returns the side of a move that owns the range by this copy of the map. A move that is no longer in the
-// map was reverted or cleared; then webhooks that it transferred go where the map says, as all others do, and the
-// answer is OwnerIsSource.
+// map was reverted or cleared. Webhooks that it transferred then go where the map says, like all others, and the
+// result is OwnerIsSource.
 func (m *Map) OwnerByMove(id MoveID) MoveOwner {
 	move, open := m.OpenMove(id)
 	switch {
@@ -55,9 +57,10 @@
 	return OwnerIsSource
 }
 
-// AdmitTransfer returns a target's answer to webhooks that are sent to it by a move: AdmissionAccepted;
-// AdmissionMapStale while its map does not show the move at its hand-off step; AdmissionRedirected when the move was
-// reverted or cleared, after which nothing of it is accepted.
+// AdmitTransfer returns a target's answer to webhooks that a move transfers to it:
+//   - AdmissionAccepted: the move is at its hand-off step or has switched.
+//   - AdmissionMapStale: the target's map does not show the move at its hand-off step yet.
+//   - AdmissionRedirected: the move was reverted or cleared, or has another target; none of its webhooks is accepted.
 func (m *Map) AdmitTransfer(id MoveID, target cluster.MemberID) Admission {
 	move, open := m.OpenMove(id)
 	switch {
--- a/cluster/shardmap/placement.go
+++ b/cluster/shardmap/placement.go
@@ -15,7 +15,7 @@
 	Destinations []api.DestinationID `cbor:"2,keyasint"` // sorted
 }
 
-// maxPlacedDestinations bounds what a faulty command can make a raft node store.
+// maxPlacedDestinations limits how many destinations a faulty command can make a raft node store.
 const maxPlacedDestinations = 1 << 17
 
 // keysByDestination returns the key of each destination that is in a group.
@@ -29,8 +29,8 @@
 	return keys
 }
 
-// groupsAreDisjoint reports whether no destination is listed twice and the destinations are not too many.
-func groupsAreDisjoint(groups []PlacementGroup) bool {
+// groupsAreValid reports whether no destination is listed twice and there are at most maxPlacedDestinations.
+func groupsAreValid(groups []PlacementGroup) bool {
 	n := 0
 	for _, g := range groups {
 		n += len(g.Destinations)
@@ -45,7 +45,7 @@
 	})
 }
 
-// KeyOf returns the key hash that a destination is placed at: its group's, or else its own.
+// KeyOf returns the key hash that a destination is placed at: that of its group or, without a group, its own.
 func (m *Map) KeyOf(destination api.DestinationID) cluster.KeyHash {
 	if key, isPlaced := m.keys[destination]; isPlaced {
 		return key
@@ -59,17 +59,17 @@
 	return r.From <= key && key <= r.To
 }
 
-// SetPlacement sets the placement of a map that nobody serves by yet. Each destination must be in one group at most.
+// SetPlacement sets the placement of a map that nobody serves by yet. Each destination must be in at most one group.
 func (m *Map) SetPlacement(groups []PlacementGroup) {
 	m.Groups = groups
 	m.keys = keysByDestination(groups)
 }
 
-// applyPlacement changes the placement. Each destination that changes to another range is recorded as misplaced for
-// each grant by which it may still be served in the previous one; until the holder of the grant confirms the new map,
-// nobody else serves it.
+// applyPlacement changes the placement. Each destination that thereby changes to another range is recorded as
+// misplaced, once for each grant under which it may still be served in the previous range. Until the holder of the
+// grant confirms the new map, no other member serves the destination.
 func (m *Map) applyPlacement(now cluster.Version, groups []PlacementGroup) error {
-	if !groupsAreDisjoint(groups) {
+	if !groupsAreValid(groups) {
 		return cluster.ErrNotFound
 	}
 	if EqualPlacements(groups, m.Groups) {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// recordMisplaced appends to Misplaced the held grants by which a destination was served in another range of the
-// previous map.
+// recordMisplaced appends an entry to Misplaced for each grant that is held and under which the destination was
+// served in another range of the previous map.
 func (m *Map) recordMisplaced(now cluster.Version, previous *Map, destination api.DestinationID) {
 	from, wasMapped := previous.RangeOf(previous.KeyOf(destination))
 	to, _ := m.RangeOf(m.KeyOf(destination))
@@ -107,8 +107,8 @@
 	}
 }
 
-// DecideDestination returns what a member does with a destination's webhooks now: as DecideKey, but ParkOwned for a
-// destination that may still be served by another member's grant.
+// DecideDestination returns what a member does now with a destination's webhooks. It decides as DecideKey does, but
+// returns ParkOwned instead of Serve for a destination that may still be served under another member's grant.
 func (m *Map) DecideDestination(member LocalMember, destination api.DestinationID) Decision {
 	decision := m.DecideKey(member, m.KeyOf(destination))
 	if decision.Action == Serve && slices.ContainsFunc(m.MisplacedOf(destination),
--- a/cluster/shardmap/range.go
+++ b/cluster/shardmap/range.go
@@ -7,8 +7,8 @@
 
 // The statuses. The numbers are encoded.
 const (
-	OwnerAssigned OwnerStatus = iota // an owner is named and has not yet confirmed by which lease it serves
-	OwnerServing                     // the owner serves by the lease of Range.Epoch
+	OwnerAssigned OwnerStatus = iota // the owner has not yet confirmed under which lease it serves
+	OwnerServing                     // the owner serves under the lease with the epoch Range.Epoch
 )
 
 // Range is an interval of key hashes. From and To both belong to it.
@@ -25,8 +25,8 @@
 	SplitOff    bool          `cbor:"9,keyasint,omitempty"` // split off the range below it
 }
 
-// PriorGrant is a lease on another range by which an owner with a map older than Since may still serve a part of this
-// range: one that was split off and not taken up yet, or one that was merged in.
+// PriorGrant is a lease on another range under which an owner with a map older than Since may still serve a part of
+// this range. The part was either split off that range, and its new lease is not confirmed yet, or was merged in.
 type PriorGrant struct {
 	Range cluster.RangeID `cbor:"1,keyasint"`
 	Epoch cluster.Epoch   `cbor:"2,keyasint"`
@@ -36,9 +36,9 @@
 // IsStable reports whether the range has an owner that serves it and no move is open.
 func (r Range) IsStable() bool { return r.Status == OwnerServing && !r.Move.IsOpen() }
 
-// ShouldAcquire reports whether a member that does not hold the range's lease should request it: as its owner, or as
-// the target of a move whose source is about to release it. No other member requests it, since a lease held elsewhere
-// would only keep the owner from serving.
+// ShouldAcquire reports whether a member that does not hold the range's lease should request it: as the owner of the
+// range, or as the target of a move whose source is about to release the lease. No other member requests it: if one
+// held the lease, the owner could not serve.
 func (r Range) ShouldAcquire(member cluster.MemberID) bool {
 	if r.Move.Step == StepHandoff {
 		return r.Move.To == member
@@ -46,9 +46,9 @@
 	return r.Owner == member
 }
 
-// ShouldRelease reports whether a member that holds the range's lease should release it: when it should not have it
-// and no call is in flight, and as the source of a move once no call of the range is in flight and no webhook of it is
-// outstanding.
+// ShouldRelease reports whether a member that holds the range's lease should release it. The source of a move does so
+// once no call of the range is in flight and no webhook of it is outstanding; a member that should not have the lease
+// does so once no call is in flight.
 func (r Range) ShouldRelease(member cluster.MemberID, callsInFlight, outstanding int) bool {
 	if r.isSource(member) {
 		return callsInFlight == 0 && outstanding == 0
@@ -56,9 +56,10 @@
 	return !r.ShouldAcquire(member) && callsInFlight == 0
 }
 
-// ShouldCloseIntake reports whether the source of a move should accept no more webhooks for the range: no call is in
-// flight and what is outstanding fits into one message of batchSize webhooks. Without this a move might never end
-// under load, since new webhooks always arrive. What is closed stays closed for one message and the switch.
+// ShouldCloseIntake reports whether the source of a move should stop accepting webhooks for the range: no call is in
+// flight, and the outstanding webhooks fit into one message of batchSize webhooks. Without this a move might never
+// end under load, since new webhooks always arrive. The intake is closed only until this one message is sent and the
+// owner has switched.
 func (r Range) ShouldCloseIntake(member cluster.MemberID, callsInFlight, outstanding, batchSize int) bool {
 	return r.isSource(member) && callsInFlight == 0 && outstanding <= batchSize
 }
--- a/cluster/shardmap/resolution.go
+++ b/cluster/shardmap/resolution.go
@@ -2,26 +2,27 @@
 
 import "rowanlink/webhook/api"
 
-// Resolution is what a member does with a copy of a webhook that another member may have.
+// Resolution is what a member does with its copy of a webhook that another member may have.
 type Resolution uint8
 
 // The resolutions.
 const (
-	StayInDoubt    Resolution = iota // it stays parked and journalled, and the other member is queried again
-	DropCopy                         // the other member has it
-	KeepCopy                         // this member has it, as it was
-	ForkCopy                         // this member continues with it as one that may have run since it was sent
-	DeadLetterCopy                   // it may have run and no member can tell: it is dead-lettered
+	StayInDoubt    Resolution = iota // the copy stays parked and journalled, and the other member is queried again
+	DropCopy                         // the other member has the webhook
+	KeepCopy                         // this member has the webhook, unchanged
+	ForkCopy                         // this member continues with the webhook as one that may have run since it was sent
+	DeadLetterCopy                   // the webhook may have run and no member can tell: it is dead-lettered
 )
 
-// Resolve returns what the reply to a custody query makes of an offer without an answer. ended is whether by the log
-// the right by which the other member could call is over. firstRunAt is when the webhook may have run first before it
-// was offered, or api.Never; lastAttemptAt is when the last attempt can still be made.
+// Resolve returns what to do with the copy of a webhook whose offer was not answered, after a custody query got the
+// reply. ended states whether, according to the log, the right under which the other member could call has ended.
+// firstRunAt is when the webhook may have run first before it was offered, or api.Never; lastAttemptAt is until when
+// the last attempt can be made.
 //
-// An owner that does not answer may have called. A webhook that may run twice is then sent to the next owner under the
-// same id: if the first one returns with its copy, the id shows that one custodian is enough. One that may not run
-// twice waits for the answer until it expires. So does one with an idempotency token: the first owner, if it serves
-// again before the two copies meet, would count the token's window from its own first call.
+// An owner that does not answer may have called. A webhook that may run twice is then sent to the next owner under
+// the same id: if the first owner returns with its copy, the id shows that one custodian is enough. A webhook that
+// may not run twice waits for the answer until it expires. So does one with an idempotency token: if the first owner
+// serves again before the two copies meet, it would count the token's window from its own first call.
 func (o Offer) Resolve(
 	reply CustodyReply, ended bool, eventType api.EventType, firstRunAt, lastAttemptAt, now api.Micros,
 ) Resolution {
@@ -29,7 +30,7 @@
 	if firstRunAt != api.Never {
 		mayHaveRunAt = firstRunAt
 	}
-	// Only the zone of the first call remembers a token by zone, and which zone that was is not known.
+	// With DedupByZone, only the zone of the first call remembers the token, and it is unknown which zone that was.
 	tokenForgotten := eventType.DedupByZone || now >= mayHaveRunAt+eventType.DedupWindow
 	mayNotRepeat := eventType.Semantics == api.AtMostOnce || eventType.Semantics == api.Deduplicated && tokenForgotten
 	switch {
--- a/cluster/shardmap/snapshot.go
+++ b/cluster/shardmap/snapshot.go
@@ -11,13 +11,13 @@
 // maxKeyHash is the end of the last range.
 const maxKeyHash = ^cluster.KeyHash(0)
 
-var errOverlappingGroups = errors.New("shardmap: a destination is placed twice")
+var errInvalidGroups = errors.New("shardmap: a destination is placed twice, or too many are placed")
 
 // Snapshot encodes the map as CBOR. A member's copy is restored from the same bytes.
 func (m *Map) Snapshot() ([]byte, error) { return codec.Marshal(m) }
 
-// Restore replaces the map by a snapshot. A snapshot whose ranges do not cover each key hash once, or that is
-// inconsistent otherwise, is rejected and leaves the map as it was.
+// Restore replaces the map by a snapshot. It rejects a snapshot whose ranges do not cover each key hash exactly once,
+// or that is inconsistent in another way, and then leaves the map unchanged.
 func (m *Map) Restore(snapshot []byte) error {
 	next := Map{holders: m.holders}
 	if err := codec.Unmarshal(snapshot, &next); err != nil {
@@ -26,8 +26,8 @@
 	if err := next.validate(); err != nil {
 		return err
 	}
-	if !groupsAreDisjoint(next.Groups) {
-		return errOverlappingGroups
+	if !groupsAreValid(next.Groups) {
+		return errInvalidGroups
 	}
 	next.SetPlacement(next.Groups)
 	*m = next
--- a/cluster/shardmap/transfer.go
+++ b/cluster/shardmap/transfer.go
@@ -8,15 +8,16 @@
 	"rowanlink/webhook/api"
 )
 
-// WebhookID identifies a webhook in the whole cluster, from the member that accepted it from its client to its end.
+// WebhookID identifies a webhook in the whole cluster, from its acceptance by the origin, the member that its client
+// submitted it to, until its end.
 type WebhookID struct {
 	Origin      cluster.MemberID `cbor:"1,keyasint"`
-	Incarnation uint64           `cbor:"2,keyasint"` // of the origin's folder: local ids start anew with it
+	Incarnation uint64           `cbor:"2,keyasint"` // of the origin's data folder: local ids start anew with it
 	LocalID     uint64           `cbor:"3,keyasint"` // never used twice in that incarnation
 }
 
-// TransferredWebhook is a webhook with what its next owner must know of its past. Times are by the sender's clock,
-// until WithClockShift translates them.
+// TransferredWebhook is a webhook with what its next owner must know about its past. Times are by the sender's clock
+// until WithClockShift converts them.
 type TransferredWebhook struct {
 	ID           WebhookID         `cbor:"1,keyasint"`
 	Handoff      HandoffNumber     `cbor:"2,keyasint"`
@@ -32,7 +33,7 @@
 	JournalEntry []byte            `cbor:"12,keyasint"` // request id, token and body, as in the sender's journal
 }
 
-// WithClockShift returns the webhook with its times by a clock that is ahead by offset.
+// WithClockShift returns the webhook with its times converted to a clock that is ahead by offset.
 func (w TransferredWebhook) WithClockShift(offset api.Micros) TransferredWebhook {
 	w.TTL += offset
 	if w.FirstRunAt != api.Never {
@@ -52,7 +53,7 @@
 )
 
 // DecideTransfer decides about a webhook that has no call in flight. minLatency is the least time that a transfer and
-// the first attempt at the target take, maxAttempts the number of attempts in all.
+// the first attempt at the target take together; maxAttempts is the most attempts in all.
 func (w TransferredWebhook) DecideTransfer(
 	eventType api.EventType, minLatency api.Micros, maxAttempts int, now api.Micros,
 ) TransferDecision {
