--- a/cluster/fsm/history_test.go
+++ b/cluster/fsm/history_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// From any earlier snapshot DeltaSince leads to the newest one.
+// The result of DeltaSince for any earlier snapshot yields the newest one.
 func TestSnapshotHistory_LeadsToTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := SnapshotHistory{}
--- a/cluster/fsm/machine_test.go
+++ b/cluster/fsm/machine_test.go
@@ -40,7 +40,7 @@
 	return New(lease.NewTable(), map[cluster.ComponentID]cluster.Component{stubID: stub}), stub
 }
 
-// machineWithLease is a machine in which session 1 holds the coordinator's lease with the epoch returned.
+// machineWithLease returns a machine in which session 1 holds the coordinator's lease with the returned epoch.
 func machineWithLease(t *testing.T) (*Machine, *stubComponent, cluster.Epoch) {
 	t.Helper()
 	m, stub := newMachine()
@@ -112,7 +112,7 @@
 	assert.ErrorIs(t, err, ErrUnreadable)
 }
 
-// Nothing of the previous state may survive: a component that the snapshot lacks gets its initial state.
+// Nothing of the previous state may remain: a component that the snapshot lacks gets its initial state.
 func TestMachine_ComponentMissingInSnapshotIsReset(t *testing.T) {
 	m, stub, _ := machineWithLease(t)
 	stub.last = []byte("a")
--- a/cluster/lease/expiry_tracker_test.go
+++ b/cluster/lease/expiry_tracker_test.go
@@ -15,7 +15,7 @@
 
 const testTTL = 3 * api.Second
 
-// A map of deadlines is the reference implementation.
+// The tracker behaves as a map of deadlines does, which is the reference implementation.
 func TestExpiryTracker_AgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewExpiryTracker(testTTL)
@@ -68,14 +68,14 @@
 	t *rapid.T, expired []ExpiredSession, until deadlines, ending map[cluster.SessionID]bool, now api.Micros,
 ) {
 	t.Helper()
-	named := map[cluster.SessionID]bool{}
+	returned := map[cluster.SessionID]bool{}
 	for _, e := range expired {
-		assert.False(t, named[e.Session])
-		named[e.Session] = true
+		assert.False(t, returned[e.Session])
+		returned[e.Session] = true
 	}
 	for s, at := range until {
-		assert.Equal(t, now >= at, named[s], "session %d", s)
-		if named[s] { // and again, unless its end is applied
+		assert.Equal(t, now >= at, returned[s], "session %d", s)
+		if returned[s] { // it is returned again later, unless its end is applied
 			ending[s] = true
 			until[s] = now + testTTL/4
 		}
@@ -95,7 +95,7 @@
 	assert.Empty(t, tracker.TakeExpired(10*testTTL))
 }
 
-// While the log is about to end the session, a repeated open must not confirm it.
+// A repeated request to open a session must not confirm it while the log is about to end it.
 func TestExpiryTracker_RejectsOpenOfExpiredSession(t *testing.T) {
 	tracker := NewExpiryTracker(testTTL)
 	tracker.StartLeading(0, 5, nil)
@@ -107,7 +107,7 @@
 	assert.Equal(t, []ExpiredSession{{6, 5}}, tracker.TakeExpired(testTTL+testTTL/4), "its end was not applied")
 }
 
-// Whatever the clocks' rates within the drift, the holder stops before the leader may end the session.
+// Whatever the rates of the clocks within the drift, the holder stops before the leader may end the session.
 func TestHolder_StopsBeforeExpiryForAnyClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drift := rapid.Float64Range(0, 0.3).Draw(t, "drift")
@@ -128,8 +128,8 @@
 	})
 }
 
-// A leader that was stopped may read a response that was given before another was elected: it proves nothing about
-// any time after the request was sent.
+// A leader that was paused may read a response that a peer gave before another leader was elected. The response
+// proves nothing about any time after the request was sent.
 func TestQuorumContact_CountsFromWhenSent(t *testing.T) {
 	contact := NewQuorumContact(5)
 	contact.RecordContact(3, "k2", 100)
--- a/cluster/lease/holder_test.go
+++ b/cluster/lease/holder_test.go
@@ -12,7 +12,8 @@
 
 const coordinator = cluster.CoordinatorResource
 
-// newTestHolder holds session 2 and, with epoch 3, one lease, by a renewal started at 0.
+// newTestHolder returns a holder with session 2, which holds one lease with epoch 3, and its renewal, which was
+// started at 0.
 func newTestHolder(t *testing.T) (*Holder, Renewal) {
 	t.Helper()
 	holder := NewHolder(testTTL, 0.05)
@@ -50,8 +51,8 @@
 	assert.Zero(t, holder.Session())
 }
 
-// A new leader gives the session a full TTL again although one before it rejected it: a new renewal confirms it, but
-// not the grants that the member relinquished.
+// A new leader gives a session a full TTL again, even if an earlier leader rejected it. A new renewal then confirms
+// the session, but does not restore the grants that the member relinquished.
 func TestHolder_SessionReturnsAfterRejectionWithoutRelinquishedGrants(t *testing.T) {
 	holder, _ := newTestHolder(t)
 	require.True(t, holder.AddGrant(2, Grant{"other", 4}))
@@ -66,7 +67,7 @@
 	assert.True(t, mayAct(holder, 2))
 }
 
-// The end may be applied after an open that returned the same session.
+// The log may apply the end of a session after a request to open one has returned the same session.
 func TestHolder_EndedSessionIsNotConfirmedAgain(t *testing.T) {
 	holder, _ := newTestHolder(t)
 	assert.Equal(t, cluster.SessionID(2), holder.EndSession())
--- a/cluster/lease/model_delivery_test.go
+++ b/cluster/lease/model_delivery_test.go
@@ -8,7 +8,7 @@
 	"rowanlink/webhook/api"
 )
 
-// deliver lets a message arrive and does with the real objects what its recipient would.
+// deliver lets a message arrive, and does with the objects of the package what its recipient would do.
 func (md *model) deliver(i int, duplicated bool) {
 	m := md.messages[i]
 	if !duplicated {
@@ -72,7 +72,7 @@
 	return result, nil
 }
 
-// elect makes a raft node the leader; the previous one may go on believing that it leads.
+// elect makes a raft node the leader; the previous leader may continue to believe that it leads.
 func (md *model) elect(k int) {
 	md.raftTerm++
 	md.leader = k
@@ -90,8 +90,8 @@
 	md.mutableNode(k).contact.RecordContact(term, thirdNode, sent)
 }
 
-// handleOpen needs no proof of leadership, as it goes through the log. A request of a process that has been
-// restarted since has process -1.
+// handleOpen needs no proof of leadership, since the request goes through the log. The request of a process that was
+// restarted after sending it has process -1.
 func (md *model) handleOpen(m message) {
 	result, err := md.apply(OpenSession("m", m.incarnation))
 	if err != nil {
@@ -113,21 +113,21 @@
 	}
 }
 
-// canAnswer reports whether a raft node would process a renewal now: it believes that it leads and has a quorum's
-// contact, or it doesn't believe so and drops it.
+// canAnswer reports whether a raft node would process a renewal now: either it believes that it leads and has contact
+// with a quorum, or it does not believe that it leads and drops the renewal.
 func (md *model) canAnswer(m message) bool {
-	k := &md.nodes[m.node]
-	return !k.believesLeading || md.mutation.skipQuorumCheck || k.contact.HasQuorumSince(m.at)
+	n := &md.nodes[m.node]
+	return !n.believesLeading || md.mutation.skipQuorumCheck || n.contact.HasQuorumSince(m.at)
 }
 
 func (md *model) handleRenewal(m message) {
-	k := md.mutableNode(m.node)
-	if !k.believesLeading {
+	n := md.mutableNode(m.node)
+	if !n.believesLeading {
 		return
 	}
-	confirmed := k.tracker.Renew(m.session, md.nodeClock(m.node))
-	if _, known := k.tracker.sessions[m.session]; known && md.mutation.renewExpired {
-		k.tracker.sessions[m.session] = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}
+	confirmed := n.tracker.Renew(m.session, md.nodeClock(m.node))
+	if _, known := n.tracker.sessions[m.session]; known && md.mutation.renewExpired {
+		n.tracker.sessions[m.session] = sessionExpiry{expiresAt: md.nodeClock(m.node) + modelTTL}
 		confirmed = true
 	}
 	m.kind = rejection
@@ -149,7 +149,7 @@
 	}
 }
 
-// handleExpire proposes an expiry that the node found, perhaps long before, in an earlier leadership of its own.
+// handleExpire proposes an expiry that the node has found, perhaps long ago in an earlier period in which it led.
 func (md *model) handleExpire(m message) {
 	if m.node != md.leader {
 		return
@@ -161,8 +161,8 @@
 	md.endSession(ExpireSession(expired), m.session)
 }
 
-// checkInvariants returns the violated invariant or "": there are never two holders, nor, which precedes that, a
-// holder whose lease the log has released.
+// checkInvariants returns the violated invariant, or "". Two members must never hold the lease at once, and no member
+// may hold a lease that the log has released, which would precede the former.
 func (md *model) checkInvariants() string {
 	holders, released := 0, ""
 	for p := range md.processes {
--- a/cluster/lease/model_hash_test.go
+++ b/cluster/lease/model_hash_test.go
@@ -10,9 +10,9 @@
 	"rowanlink/webhook/api"
 )
 
-// stateEncoder encodes a model so that equivalent states, from which the same can follow, have the same encoding:
-// times are relative to now and limited to where they matter, ids and renewals count by their order only. The hash
-// has 64 bits: among a million states the chance of a collision is about one in 40 million.
+// stateEncoder encodes a model so that equivalent states, which have the same possible futures, have the same
+// encoding: times are relative to now and limited to where they matter, and of ids and renewals only the order
+// counts. The hash has 64 bits: among a million states the chance of a collision is about one in 40 million.
 type stateEncoder struct {
 	model *model
 	ids   []uint64
@@ -50,7 +50,8 @@
 	return se.hash(begins)
 }
 
-// hash sorts the messages by their encoding, as their order in flight does not matter.
+// hash returns the hash of the encoding. It sorts the encoded messages, which begin at the given offsets, since their
+// order in flight does not matter.
 func (se *stateEncoder) hash(begins []int) uint64 {
 	if len(begins) == 0 {
 		return xxhash.Sum64(se.out)
@@ -105,7 +106,7 @@
 	}
 }
 
-// incarnation encodes whose it is; all past incarnations are equivalent.
+// incarnation encodes which member an incarnation belongs to. All past incarnations are equivalent.
 func (se *stateEncoder) incarnation(i Incarnation) byte {
 	if i == se.model.processes[0].incarnation || i == se.model.processes[1].incarnation {
 		return byte(i % 2)
@@ -113,7 +114,7 @@
 	return 2
 }
 
-// node encodes the remaining time of sessions, and the order of contacts and of the renewals that wait for one.
+// node encodes the remaining time of the sessions, and the order of contacts and of the renewals that wait for one.
 func (se *stateEncoder) node(i int) {
 	n := &se.model.nodes[i]
 	se.add('K', byte(n.clockStep/1000), boolByte(n.believesLeading), boolByte(n.tracker.IsLeading()))
@@ -134,7 +135,8 @@
 	se.out = binary.LittleEndian.AppendUint16(se.out, uint16(t))
 }
 
-// rank is the position of a time among those that a raft node compares; the current time has the highest bit set.
+// rank returns the position of a time among those that a raft node compares. The highest bit is set for the current
+// time.
 func (se *stateEncoder) rank(node int, at api.Micros) (rank byte) {
 	below := func(t api.Micros) {
 		if t < at {
--- a/cluster/lease/model_mutations_test.go
+++ b/cluster/lease/model_mutations_test.go
@@ -17,15 +17,15 @@
 	lateAction = "a late action was admitted after one of a later epoch"
 )
 
-// mutatedModel is a model with one fault, outside the real objects.
+// mutatedModel is a model with one fault, which is in the code around the objects of the package.
 type mutatedModel struct {
 	mutation mutation
 	budget   faultBudget
 	finds    string // the violation
 }
 
-// mutatedModels are the faults. Those with untilTwoHolders continue until two members hold the lease at once; the others
-// do so with ROWAN_SEARCH_DEEPER.
+// mutatedModels are the faults by name. With untilTwoHolders the search continues until two members hold the lease at
+// once; with ROWAN_SEARCH_DEEPER it does so also for the faults that find a released lease.
 var mutatedModels = map[string]mutatedModel{
 	"TTL counted from the response": {
 		mutation: mutation{countFromResponse: true, untilTwoHolders: true},
@@ -66,7 +66,8 @@
 	},
 }
 
-// TestModel_MutationsAreDetected: the search finds a violation in each mutated model, and none without the fault.
+// TestModel_MutationsAreDetected: the search finds a violation in each mutated model, and none in the model without
+// the fault.
 func TestModel_MutationsAreDetected(t *testing.T) {
 	for name, m := range mutatedModels {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +76,8 @@
 				m.finds = twoHolders
 			}
 			start := worstClocks(m.mutation, m.budget)
-			if m.mutation.countContactFromArrival { // shortcut: a peer's response is in flight, then another node is elected
+			if m.mutation.countContactFromArrival {
+				// Start later to shorten the search: a peer's response is in flight, and another node has been elected.
 				start.sendLateContact(0)
 				start.budget.lateContacts = 0
 				start.budget.elections = 0
@@ -90,27 +92,27 @@
 	}
 }
 
-// Long random walks with every fault reach states beyond those of the search.
+// Long random walks with every kind of fault reach states that are too deep for the search.
 func TestModel_NoTwoHoldersOnRandomWalks(t *testing.T) {
-	chance := rand.New(rand.NewPCG(35, 1))
-	taken, steps := 0, 0
+	rng := rand.New(rand.NewPCG(35, 1))
+	handovers, steps := 0, 0
 	rates := []api.Micros{slowStep, fastStep}
 	for range 10_000 * (1 + extraDepth) {
-		rate := func() api.Micros { return rates[chance.IntN(2)] }
+		rate := func() api.Micros { return rates[rng.IntN(2)] }
 		md := steadyModel(mutation{}, faultBudget{asyncRequests: true, elections: 4, duplicates: 6, lateContacts: 4,
 			releases: 3, sessionEnds: 2, memberRestarts: 3, actions: 6, fenceRestarts: 2},
 			[2]api.Micros{rate(), rate()}, [2]api.Micros{rate(), rate()})
 		for range 80 {
-			moves := md.transitions(nil)
-			m := moves[chance.IntN(len(moves))]
+			enabled := md.transitions(nil)
+			m := enabled[rng.IntN(len(enabled))]
 			m.apply(md, m.subject)
 			require.Empty(t, md.checkInvariants())
 			steps++
 			if _, ok := md.processes[1].holder.Epoch(modelResource, md.processClock(1)); ok {
-				taken++
+				handovers++
 			}
 		}
 	}
-	assert.Positive(t, taken)
-	t.Logf("%d transitions; after %d the second member held the lease", steps, taken)
+	assert.Positive(t, handovers)
+	t.Logf("%d transitions; after %d the second member held the lease", steps, handovers)
 }
--- a/cluster/lease/model_search_test.go
+++ b/cluster/lease/model_search_test.go
@@ -13,8 +13,8 @@
 	"rowanlink/webhook/api"
 )
 
-// extraDepth is the number of transitions more than in CI, and the factor of further random walks:
-// ROWAN_SEARCH_DEEPER=2 takes minutes.
+// extraDepth is the number of transitions by which the search goes deeper than in CI, and the factor by which there
+// are further random walks: ROWAN_SEARCH_DEEPER=2 takes minutes.
 var extraDepth, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
 
 // searchNode records by which transition a state was first reached.
@@ -23,7 +23,7 @@
 	transition int
 }
 
-// trace lists the transitions from the start.
+// trace lists the transitions that lead from a start to the state.
 func (n *searchNode) trace(starts []*model) string {
 	var path []int
 	for ; n != nil; n = n.parent {
@@ -50,7 +50,7 @@
 	violation, trace string
 }
 
-// search visits every state within depth transitions, breadth first, and stops at the first violation.
+// search visits every state within depth transitions of the starts, breadth first, and stops at the first violation.
 func search(starts []*model, depth int) (f searchResult) {
 	type reached struct {
 		*model
@@ -68,13 +68,13 @@
 			level = append(level, reached{model: md, node: &searchNode{transition: i}})
 		}
 	}
-	var moves []transition
+	var enabled []transition
 	for ; f.depth < depth && len(level) > 0; f.depth++ {
 		var next []reached
 		for i, at := range level {
 			level[i] = reached{}
-			moves = at.transitions(moves[:0])
-			for j, m := range moves {
+			enabled = at.transitions(enabled[:0])
+			for j, m := range enabled {
 				md := at.clone()
 				if m.apply(md, m.subject); !isNew(md) {
 					continue
@@ -129,8 +129,8 @@
 	return all
 }
 
-// In every state within reach at most one member holds the lease, and none after the log has released it; epochs
-// rise; no action is admitted after one of a later epoch.
+// In every state within reach, at most one member holds the lease, and no member holds it after the log has released
+// it. Epochs rise, and no action is admitted after one of a later epoch.
 func TestModel_NoTwoHoldersInReachableStates(t *testing.T) {
 	worst := func(budget faultBudget) []*model { return []*model{worstClocks(mutation{}, budget)} }
 	for _, s := range []struct {
--- a/cluster/lease/model_test.go
+++ b/cluster/lease/model_test.go
@@ -8,10 +8,10 @@
 	"rowanlink/webhook/api"
 )
 
-// The model that the search explores consists of two members, each with several incarnations; two raft nodes of
-// three that lead in turn, of which one may be deposed without knowing it; the messages in flight between them; and
-// a fence. The real objects make all decisions. True time advances in steps; clocks are fast or slow. A process that
-// takes no transition for a while is stopped, and continues as if nothing had happened.
+// The model that the search explores consists of two members, each with several incarnations; two of three raft nodes,
+// which lead in turn and of which one may be deposed without knowing it; the messages in flight between them; and a
+// fence. The objects of the package make all decisions. True time advances in steps; each clock is fast or slow. A
+// process that takes no transition for a while is thereby paused, and continues as if nothing had happened.
 const (
 	slowStep, fastStep api.Micros       = 3000, 5000 // what a clock advances in one step of true time: 4000 +- 25%
 	modelDrift                          = 0.25
@@ -20,7 +20,7 @@
 	thirdNode          cluster.MemberID = "the third node"
 )
 
-// mutation introduces a fault into a model, to show that the search detects it.
+// mutation selects a fault that is put into a model, to show that the search detects it.
 type mutation struct {
 	countFromResponse       bool // the TTL is counted from the response
 	keepOldExpiry           bool // a new leader continues with the expiry times that it knows
@@ -29,13 +29,14 @@
 	skipQuorumCheck         bool // a leader answers without a quorum's contact
 	countContactFromArrival bool // a peer's contact counts from when its response is read, as in raft's VerifyLeader
 	ignoreDrift             bool // clocks are assumed to have the same rate
-	ignoreLeaderEpoch       bool // a session is ended in whatever leader epoch the proposal is applied
-	untilTwoHolders         bool // not a fault: continue until two members hold the lease
+	ignoreLeaderEpoch       bool // a session is ended even if a later leader epoch has begun since its expiry was found
+	untilTwoHolders         bool // not a fault: only two holders at once count as a violation
 }
 
-// faultBudget limits what can happen besides time, requests, renewals and expiries: how often each may.
+// faultBudget limits how often each event may still happen. The passing of time, requests, renewals and expiries are
+// not limited.
 type faultBudget struct {
-	asyncRequests bool // opens and acquisitions take time; else they are done at once
+	asyncRequests bool // opening a session or acquiring the lease takes time; else it is done at once
 
 	elections, duplicates, lateContacts, releases, sessionEnds, memberRestarts, actions, fenceRestarts int8
 }
@@ -44,7 +45,7 @@
 
 const (
 	openRequest  messageKind = iota
-	renewRequest             // at a raft node that does not know yet whether it leads
+	renewRequest             // waits at a raft node that has not yet verified that it leads
 	confirmation
 	rejection
 	acquireRequest
@@ -56,7 +57,7 @@
 	action
 )
 
-// message is anything in flight; fields that its kind has no use for are zero.
+// message is anything in flight. Fields that its kind does not use are zero.
 type message struct {
 	kind          messageKind
 	process, node int
@@ -66,7 +67,7 @@
 	epoch         cluster.Epoch
 	leaderEpoch   LeaderEpoch
 	raftTerm      uint64
-	at            api.Micros // of the raft node's clock
+	at            api.Micros // by the raft node's clock
 }
 
 func (m message) isResponse() bool {
@@ -78,7 +79,7 @@
 	believesLeading bool
 	tracker         *ExpiryTracker
 	contact         *QuorumContact
-	owned           bool // by this model alone; else shared with the model that it was cloned from
+	owned           bool // used by this model alone; else shared with the model that it was cloned from
 }
 
 type process struct {
@@ -91,12 +92,12 @@
 type model struct {
 	mutation        mutation
 	budget          faultBudget
-	now             api.Micros // true steps
+	now             api.Micros // in steps of true time
 	index           uint64
 	raftTerm        uint64
 	leader          int
 	table           *Table
-	owned           bool // the table
+	owned           bool // the table is used by this model alone
 	nodes           [2]raftNode
 	processes       [2]process
 	messages        []message
@@ -140,8 +141,8 @@
 func (md *model) nodeClock(k int) api.Micros    { return md.now * md.nodes[k].clockStep }
 func (md *model) processClock(p int) api.Micros { return md.now * md.processes[p].clockStep }
 
-// clone shares the objects with the original; whoever changes one gets a copy of its own from mutableTable,
-// mutableHolder or mutableNode.
+// clone returns a model that shares its objects with the original. Before one of the two changes an object, it gets a
+// copy of its own from mutableTable, mutableHolder or mutableNode.
 func (md *model) clone() *model {
 	n := *md
 	n.messages = slices.Clone(md.messages)
@@ -170,7 +171,8 @@
 	return md.table
 }
 
-// mutableNode rebuilds the tracker's timers: what TakeExpired returns depends on its sessions alone.
+// mutableNode rebuilds the timers of the tracker instead of copying them: what TakeExpired returns depends on the
+// sessions alone.
 func (md *model) mutableNode(i int) *raftNode {
 	n := &md.nodes[i]
 	if n.owned {
--- a/cluster/lease/model_transitions_test.go
+++ b/cluster/lease/model_transitions_test.go
@@ -6,7 +6,8 @@
 	"rowanlink/cluster"
 )
 
-// transition is one thing that may happen next to subject: the index of a message, raft node or member.
+// transition is one event that may happen next. subject is the index of the message, raft node or member that it
+// concerns.
 type transition struct {
 	name    string
 	subject int
@@ -28,7 +29,7 @@
 	return count
 }
 
-// transitions appends all that may happen in this state.
+// transitions appends all events that may happen in this state.
 func (md *model) transitions(all []transition) []transition {
 	all = append(all, transition{"time advances", 0, func(md *model, _ int) { md.now++ }})
 	for i, m := range md.messages {
@@ -107,7 +108,8 @@
 	md.send(message{kind: peerContact, process: -1, node: k, raftTerm: md.raftTerm, at: md.nodeClock(k)})
 }
 
-// hasExpired ignores expiries that are in flight: finding them again changes nothing.
+// hasExpired reports whether a raft node can find an expired session. A session whose expiry is already in flight
+// does not count: finding it again changes nothing.
 func (md *model) hasExpired(k int) bool {
 	tracker := md.nodes[k].tracker
 	for s, state := range tracker.sessions {
@@ -178,8 +180,8 @@
 	return all
 }
 
-// startRenewal sends a request to the leader's log or, for a renewal, at once to a raft node: a delay could only make
-// it harder to confirm.
+// startRenewal sends a request to open or renew a session. A request to open one goes to the leader's log. A renewal
+// reaches the raft node at once: a delay could only make it harder to confirm.
 func (md *model) startRenewal(p int, kind messageKind, k int) {
 	holder := md.mutableHolder(p)
 	m := message{
@@ -196,7 +198,8 @@
 	md.send(m)
 }
 
-// restartMember keeps requests in flight, but drops responses.
+// restartMember starts a new incarnation of a member. The member's requests stay in flight, but responses to it are
+// dropped.
 func (md *model) restartMember(p int) {
 	md.budget.memberRestarts--
 	md.processes[p].holder = md.newHolder()
--- a/cluster/lease/reconciler_test.go
+++ b/cluster/lease/reconciler_test.go
@@ -9,7 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// holderWithGrant returns a holder in session 5 and its reconciler, with home/1 requested and granted by epoch 9.
+// holderWithGrant returns a holder in session 5 and its reconciler. The lease on home/1 is requested and granted with
+// epoch 9.
 func holderWithGrant() (*Holder, *Reconciler) {
 	holder := NewHolder(simulationTTL, 0)
 	reconciler := NewReconciler(holder, simulationTTL)
@@ -19,7 +20,7 @@
 	return holder, reconciler
 }
 
-// Guards against giving a lease up because a result from before its grant comes late.
+// Guards against giving up a lease because a result from before its grant arrives late.
 func TestReconciler_IgnoresOutdatedGrants(t *testing.T) {
 	holder, reconciler := holderWithGrant()
 	reconciler.ReconcileGrants(5, []Grant{{"home/1", 7}})
@@ -29,7 +30,8 @@
 	require.False(t, reconciler.NextProposal(1).HasWork())
 }
 
-// Guards against a session that does not request a lease because it was held when the previous session did.
+// Guards against a session that does not request a lease because another held it when the previous session requested
+// it.
 func TestReconciler_IgnoresBlockedOfEarlierSession(t *testing.T) {
 	holder, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
@@ -39,7 +41,7 @@
 	require.Equal(t, Proposal{Session: 20, Acquire: []cluster.Resource{"home/1", "home/2"}}, reconciler.NextProposal(2))
 }
 
-// Guards against requesting a blocked lease all the time, and against never requesting it again.
+// Guards against requesting a blocked lease continuously, and against never requesting it again.
 func TestReconciler_RetriesBlockedWhenFreedOrDue(t *testing.T) {
 	_, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
@@ -54,7 +56,8 @@
 	require.Equal(t, []cluster.Resource{"home/2"}, reconciler.NextProposal(20).Acquire)
 }
 
-// Guards against dropping a granted lease, with calls in flight, because a member was only late to renew.
+// Guards against dropping a lease that is granted, while calls are in flight, only because a member is late with its
+// renewal.
 func TestReconciler_CancelsRequestWithoutGrant(t *testing.T) {
 	holder, reconciler := holderWithGrant()
 	reconciler.Request("home/2")
--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/webhook/api"
 )
 
-// start starts a new incarnation of the member, which requests leases on the resources.
+// start starts a new incarnation of the member, which requests leases on the given resources.
 func (sm *simulatedMember) start(requested []cluster.Resource) {
 	sm.incarnation++
 	sm.holder = NewHolder(simulationTTL, 0)
@@ -29,7 +29,7 @@
 	}
 }
 
-// deliver has a member process a message once it is no longer stopped, if it is still the same incarnation.
+// deliver makes a member process a message as soon as it is not paused, unless a new incarnation has started by then.
 func (sm *simulatedMember) deliver(incarnation Incarnation, f func()) {
 	switch {
 	case sm.incarnation != incarnation:
@@ -44,7 +44,7 @@
 	sm.send(func() { sm.deliver(incarnation, f) })
 }
 
-// tick does what a member's three loops do.
+// tick does the work of a member's three loops: renewals, proposals and polls for released leases.
 func (sm *simulatedMember) tick() {
 	sm.after(tickInterval, sm.tick)
 	if sm.now < sm.stoppedUntil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// propose sends a proposal; the member ignores a result that comes after until.
+// propose sends a proposal. The member ignores a result that arrives after until.
 func (sm *simulatedMember) propose(incarnation Incarnation, p Proposal, until api.Micros) {
 	k := sm.pickNode()
 	sm.send(func() {
@@ -125,7 +125,8 @@
 	})
 }
 
-// rejectWithoutEntry is the rejection that a raft node which leads, or believes so, gives without a log entry.
+// rejectWithoutEntry returns the rejection that a raft node gives without a log entry, because other sessions hold
+// all the leases. The node leads, or only believes so.
 func (sm *simulatedMember) rejectWithoutEntry(k int, p Proposal) (rejected []Grant) {
 	node := sm.nodes[k]
 	if p.Release != "" || !sm.isLeading(k) && node.stalledUntil <= sm.now || node.table.MemberOf(p.Session) == "" {
@@ -168,7 +169,7 @@
 	sm.send(poll)
 }
 
-// check runs the simulation and returns what is wrong some time after its faults have ended, or "".
+// check runs the simulation until some time after its faults have ended. It returns what is wrong then, or "".
 func (si *simulation) check() string {
 	si.run(20 * simulationTTL)
 	for i := range si.nodes {
@@ -179,7 +180,7 @@
 	for _, sm := range si.members {
 		sm.stoppedUntil = 0
 	}
-	si.run(si.now + simulationTTL + acquiredWithin*simulationTTL) // the latest message, and then the bound
+	si.run(si.now + simulationTTL + acquiredWithin*simulationTTL) // until the last late message, then the bound
 	for _, resource := range simulationResources {
 		requests := func(sm *simulatedMember) bool { return slices.Contains(sm.reconciler.Requested(), resource) }
 		requested := slices.ContainsFunc(si.members, requests)
@@ -202,8 +203,8 @@
 // acquiredWithin is the number of TTLs after the last late message in which a requested, free lease is acquired.
 const acquiredWithin = 2
 
-// Whatever faults befell messages, members and raft nodes, no lease stays free although it is requested, is held by a
-// member that does not request it, or has two holders at any time.
+// After any faults of messages, members and raft nodes have ended, no lease stays free although it is requested, or
+// is held by a member that does not request it. At no time does a lease have two holders.
 func TestSimulation_RequestedLeaseIsAcquired(t *testing.T) {
 	for seed := range uint64(300 * (1 + extraDepth)) {
 		require.Empty(t, newSimulation(seed, simulationMutation{}).check(), "seed %d", seed)
--- a/cluster/lease/simulation_test.go
+++ b/cluster/lease/simulation_test.go
@@ -9,8 +9,9 @@
 	"rowanlink/webhook/api"
 )
 
-// simulation runs members and raft nodes that exchange messages. While it is faulty, messages are lost, duplicated
-// and late, members stop, restart and change their requests, and the leader changes. It is determined by a seed.
+// simulation runs members and raft nodes that exchange messages. While faulty is set, messages are lost, duplicated
+// and late, members pause, restart and change their requests, and the leader changes. A seed determines the whole
+// run.
 type simulation struct {
 	rng           *rand.Rand
 	now           api.Micros
@@ -26,7 +27,7 @@
 	violation     string
 }
 
-// simulationMutation is a step of the protocol that a simulation omits.
+// simulationMutation selects a step of the protocol that a simulation omits.
 type simulationMutation struct{ omitGrants, neverRetry bool }
 
 // simulatedNode is one raft node with its replica of the table.
@@ -36,7 +37,7 @@
 	stalledUntil api.Micros // until then it applies no entries
 }
 
-// simulatedMember is one member, driven as cluster/member drives it.
+// simulatedMember is one member. The simulation calls its objects as cluster/member does.
 type simulatedMember struct {
 	*simulation
 	id              cluster.MemberID
@@ -141,7 +142,7 @@
 	return result, err
 }
 
-// catchUp applies the entries that a raft node can have, and returns its table.
+// catchUp applies the entries that a raft node can have received, and returns its table.
 func (si *simulation) catchUp(k int) *Table {
 	node := si.nodes[k]
 	most := len(si.entries)
@@ -155,7 +156,7 @@
 	return node.table
 }
 
-// elect changes the leader; the former one does not notice for a while.
+// elect changes the leader. The former leader does not notice for a while.
 func (si *simulation) elect() {
 	si.nodes[si.leader].stalledUntil = si.now + si.randomDelay(simulationTTL)
 	if si.leader = si.rng.IntN(len(si.nodes)); si.faulty {
@@ -201,7 +202,7 @@
 // isLeading reports whether a raft node can commit entries.
 func (si *simulation) isLeading(k int) bool { return k == si.leader && si.electionUntil <= si.now }
 
-// pickNode returns the raft node that a member takes for the leader, mostly the right one.
+// pickNode returns the raft node that a member believes to be the leader, mostly correctly.
 func (si *simulation) pickNode() int {
 	if si.faulty && si.rng.IntN(3) == 0 {
 		return si.rng.IntN(len(si.nodes))
--- a/cluster/lease/table_test.go
+++ b/cluster/lease/table_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Each lease has one holder, with an epoch above all before; a rejected operation changes nothing; and a table
-// restored at any point continues exactly as the original.
+// Each lease has one holder, with an epoch above all epochs before. A rejected operation changes nothing. A table
+// that is restored at any point continues exactly as the original.
 func TestTable_RandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
@@ -108,7 +108,7 @@
 	return result
 }
 
-// An earlier incarnation may be stopped, not gone: its session lasts until its TTL has run out.
+// An earlier incarnation may be paused instead of gone: its session lasts until its TTL has run out.
 func TestTable_SecondIncarnationHasOwnSession(t *testing.T) {
 	table := NewTable()
 	first := mustApply(t, table, 1, OpenSession("m1", 1)).Session
@@ -121,7 +121,7 @@
 	assert.Equal(t, []Grant{{"conduct", 7}}, mustApply(t, table, 7, AcquireLeases(second, "conduct")).Grants)
 }
 
-// A log that was lost and recreated must not assign an epoch again.
+// After a log was lost and recreated, no epoch may be assigned again.
 func TestTable_EpochsRiseWhenIndexFalls(t *testing.T) {
 	table := NewTable()
 	s := mustApply(t, table, 900, OpenSession("m1", 1)).Session
@@ -131,7 +131,7 @@
 	assert.Greater(t, mustApply(t, table, 4, OpenSession("m2", 1)).Session, s)
 }
 
-// A later leader epoch has given the session a full TTL again: an expiry found in an earlier one is void.
+// A later leader epoch gives the session a full TTL again, so an expiry that was found in an earlier one is void.
 func TestTable_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	table := NewTable()
 	earlier := mustApply(t, table, 1, BeginLeaderEpoch()).LeaderEpoch
