--- a/cluster/shardmap/clock_offset_test.go
+++ b/cluster/shardmap/clock_offset_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// The estimate is never further off than the lag of the fastest message, made less exact by the drift since, and never
-// more than the lag of the last.
+// The error of the estimate is at most the lag of the fastest message plus the drift since, and at most the lag of
+// the last message.
 func TestClockOffset_TracksLeastLag(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxDrift = 0.01
--- a/cluster/shardmap/custody_table_test.go
+++ b/cluster/shardmap/custody_table_test.go
@@ -88,8 +88,8 @@
 	assert.False(t, inDoubt)
 }
 
-// FuzzCustodyEncoding: what members send to each other and journal is the same when it is decoded, encoded and decoded
-// again.
+// FuzzCustodyEncoding: what members journal and send to each other stays the same when it is decoded, encoded and
+// decoded again.
 func FuzzCustodyEncoding(f *testing.F) {
 	for _, v := range []any{
 		TransferredWebhook{ID: webhookID(0), TTL: 5, FirstRunAt: api.Never, JournalEntry: []byte("x")},
@@ -108,7 +108,7 @@
 	})
 }
 
-// requireStableEncoding returns the decoded value, or false if the bytes are none.
+// requireStableEncoding returns the decoded value, or false if the bytes can't be decoded.
 func requireStableEncoding[T any](t *testing.T, raw []byte) (T, bool) {
 	t.Helper()
 	var value, again T
--- a/cluster/shardmap/failover_test.go
+++ b/cluster/shardmap/failover_test.go
@@ -66,7 +66,8 @@
 	})
 }
 
-// drawCandidates draws four candidates, which of them are alive, and whether one of these has no bound.
+// drawCandidates draws four candidates, the set of those that are alive, and whether a live one with a weight has no
+// bound.
 func drawCandidates(t *rapid.T) (candidates []Candidate, alive map[cluster.MemberID]bool, hasCapacity bool) {
 	alive = map[cluster.MemberID]bool{}
 	for _, member := range []cluster.MemberID{"a", "b", "c", "d"} {
@@ -93,8 +94,8 @@
 	return cluster.LeaseHolder{}, false
 }
 
-// Ranges of a lost owner must not stay without one because the ranges that were split off seem to fill the others'
-// bound, and split-off ranges must not be scattered over the cluster.
+// Guards against two failures: the ranges of a lost owner get no new owner, because ranges that were split off seem
+// to fill the bound of the others; and split-off ranges are scattered over the cluster.
 func TestFailoverPlanner_SplitOffRangesFollowTheirParent(t *testing.T) {
 	m := &Map{Ranges: []Range{
 		{ID: 1, To: 9, Owner: "a", Status: OwnerServing},
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// grant grants the lease on a range to a member, by the next epoch.
+// grant grants the lease on a range to a member, with the next epoch.
 func (l fakeLeases) grant(id cluster.RangeID, member cluster.MemberID) {
 	resource := cluster.RangeOwnerResource(id)
 	l.holders[resource] = member
@@ -90,8 +90,8 @@
 	return next
 }
 
-// randomCommand returns a command that is likely to be accepted in the state of a range, or changes a lease and returns
-// none. ofOwner: it is proposed by a member that serves by the map seen.
+// randomCommand returns a command that is likely to be accepted in the state of a range. Alternatively it changes a
+// lease and returns no command. ofOwner reports whether the proposer is a member that serves by the map seen.
 func randomCommand(
 	random *rand.Rand, m *Map, l fakeLeases, r Range, seen *Map,
 ) (c cluster.Command, ofOwner bool) {
@@ -145,7 +145,7 @@
 	*Map
 	leases fakeLeases
 	old    []*Map
-	// oldest is the least version that each member may serve by: that which it confirmed ownership by.
+	// oldest is the lowest version that each member may serve by: the one by which it confirmed its ownership.
 	oldest map[cluster.MemberID]cluster.Version
 }
 
@@ -159,7 +159,7 @@
 	return v
 }
 
-// applyRandom applies a random command, if the log would accept it. It returns false if it is rejected or fenced.
+// applyRandom applies a random command if the log accepts it. It returns false if the command is rejected or fenced.
 func (v *mapVersions) applyRandom(t *testing.T, random *rand.Rand) bool {
 	t.Helper()
 	r := v.Ranges[random.IntN(len(v.Ranges))]
@@ -186,7 +186,7 @@
 	return true
 }
 
-// servers returns the members that serve by any version that they may still have.
+// servers returns the members that serve by any version of the map that they may still have.
 func (v *mapVersions) servers(decide func(*Map, LocalMember) Decision) map[cluster.MemberID]bool {
 	servers := map[cluster.MemberID]bool{}
 	for _, version := range v.old {
@@ -200,8 +200,9 @@
 	return servers
 }
 
-// Random commands, on a log whose leases are held by one member at a time. Each member serves by any map that is as new as
-// the one it confirmed ownership by. Then no two members serve a key, whatever is split, merged, moved and lost.
+// Random commands are applied to a log in which each lease is held by one member at a time. Each member serves by any
+// map that is as new as the one by which it confirmed its ownership. Then no two members serve a key, whatever is
+// split, merged, moved and lost.
 func TestMap_NoTwoMembersServeAKeyByAnyVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(35, 3))
 	served, seen := 0, map[string]int{}
--- a/cluster/shardmap/model_actions_test.go
+++ b/cluster/shardmap/model_actions_test.go
@@ -8,8 +8,9 @@
 	"rowanlink/webhook/api"
 )
 
-// transition is one thing that may happen next. target is the index of a member or of a message. faultFree transitions
-// also happen without faults; then the first one in the list is done first.
+// transition is one event that may happen next. target is the index of a member or of a message; apply is called with
+// target and webhook. Transitions that are faultFree also happen once there are no more faults; then the first one in
+// the list is taken.
 type transition struct {
 	name            string
 	target, webhook int8
@@ -19,7 +20,7 @@
 
 func (m transition) String() string { return fmt.Sprintf("%s: %d %d", m.name, m.target, m.webhook) }
 
-// transitions appends all that may happen in this state.
+// transitions appends all events that may happen in this state.
 func (md *model) transitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int8, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
@@ -63,7 +64,7 @@
 	return all
 }
 
-// networkTransitions appends what may happen to the messages in flight.
+// networkTransitions appends the events that may happen to messages in flight.
 func (md *model) networkTransitions(all []transition) []transition {
 	add := func(enabled bool, name string, target int, faultFree bool, apply func(*model, int8, int8)) {
 		if enabled {
@@ -101,8 +102,8 @@
 	return all
 }
 
-// callIsPending reports whether a member is about to call: in the model no time passes between the last check and the
-// call. docs/cluster.md treats that gap.
+// callIsPending reports whether a member is about to call. In the model no time passes between the last check and the
+// call; docs/cluster.md discusses the gap in reality.
 func (md *model) callIsPending() bool {
 	return slices.ContainsFunc(md.processes[:], func(p processState) bool { return slices.Contains(p.steps[:], stepCall) })
 }
@@ -136,7 +137,7 @@
 	case p.fromClient[m.webhook] && m.reply == CustodyUnknown:
 		md.timeOut(m.to, m.webhook)
 	case p.fromClient[m.webhook] && m.reply == CustodyTaken:
-		p.fromClient[m.webhook], p.awaiting[m.webhook], md.promised[m.webhook] = false, message{}, true
+		p.fromClient[m.webhook], p.awaiting[m.webhook], md.acknowledged[m.webhook] = false, message{}, true
 	case p.fromClient[m.webhook]:
 		p.awaiting[m.webhook] = message{}
 		md.acceptFromClient(m.to, m.webhook)
@@ -162,7 +163,7 @@
 	t.add(enabled, transition{name: name, target: i, webhook: n, faultFree: faultFree, apply: apply})
 }
 
-// webhookTransitions appends those of a webhook at a member.
+// webhookTransitions appends the events that concern one webhook at one member.
 func (md *model) webhookTransitions(i, n int8, all []transition) []transition {
 	p := &md.processes[i]
 	if p.isBusy() {
@@ -200,7 +201,7 @@
 	t.addFor(i, n, waits, "times out", false, (*model).timeOut)
 }
 
-// addOwnedTransitions adds what a member does with a copy that isn't in doubt.
+// addOwnedTransitions adds what a member does with a copy that is not in doubt.
 func (md *model) addOwnedTransitions(t *transitionList, i, n int8) {
 	p, decision := &md.processes[i], md.decision(i)
 	c := p.copies[n]
@@ -224,7 +225,7 @@
 		func(md *model, i, n int8) { md.sendOffer(i, n, id, to) })
 }
 
-// addInDoubtTransitions adds what a member does with a copy that another member may have too.
+// addInDoubtTransitions adds what a member does with a copy of a webhook that another member may have too.
 func (md *model) addInDoubtTransitions(t *transitionList, i, n int8) {
 	p := &md.processes[i]
 	o := p.memory[n].record(webhookID(n)).Offer
@@ -247,10 +248,10 @@
 	p := &md.processes[i]
 	p.outgoing.firstRunAt = earliest(p.copies[n].firstRunAt, int8(md.now))
 	if p.disk[n].arriving && !md.mutation.storedNotJournalled {
-		p.setSteps(n, stepWriteRecord, stepNoteRun, stepCall)
+		p.setSteps(n, stepWriteRecord, stepJournalFirstRun, stepCall)
 		return
 	}
-	p.setSteps(n, stepNoteRun, stepCall)
+	p.setSteps(n, stepJournalFirstRun, stepCall)
 }
 
 func (md *model) endWebhook(i, n int8) {
@@ -265,8 +266,8 @@
 	return TransferredWebhook{ID: webhookID(n), TTL: ttl, FirstRunAt: api.Micros(md.processes[i].copies[n].firstRunAt)}
 }
 
-// sendOffer offers a webhook to another member. One that a client is submitting has no record yet.
-func (md *model) sendOffer(i, n int8, id MoveID, to cluster.MemberID) {
+// sendOffer offers a webhook to another member. A webhook that a client is submitting has no record yet.
+func (md *model) sendOffer(i, n int8, move MoveID, to cluster.MemberID) {
 	p, shards := &md.processes[i], md.mapOf(i)
 	m := message{
 		kind:        offerMessage,
@@ -274,14 +275,14 @@
 		to:          memberIndex(to),
 		webhook:     n,
 		firstRunAt:  -1,
-		move:        uint8(id),
+		move:        uint8(move),
 		version:     uint8(shards.Version),
 		epoch:       uint8(shards.Ranges[0].Epoch),
 		sentAt:      md.now,
 		incarnation: md.processes[memberIndex(to)].incarnation,
 	}
 	if p.fromClient[n] {
-		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) { m.handoff = k.NextHandoff(name) })
+		p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) { m.handoff = table.NextHandoff(id) })
 		p.awaiting[n] = m
 		md.send(m)
 		return
@@ -293,19 +294,19 @@
 	if isRetry {
 		m.incarnation = p.memory[n].incarnation
 	}
-	p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
-		next := k.NextHandoff(name)
-		m.handoff, ok = k.BeginOffer(name, ttl, Offer{
+	p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) {
+		next := table.NextHandoff(id)
+		m.handoff, ok = table.BeginOffer(id, ttl, Offer{
 			To:          to,
 			Incarnation: uint64(m.incarnation),
-			Move:        id,
+			Move:        move,
 			Range:       1,
 			Epoch:       cluster.Epoch(m.epoch),
 			SentAt:      api.Micros(md.now),
 		})
 		if md.mutation.handoffNotRaised && !isRetry && next > 1 {
 			m.handoff = next - 1
-			k.records[name].Handoff = m.handoff
+			table.records[id].Handoff = m.handoff
 		}
 	})
 	m.isRetry = isRetry
--- a/cluster/shardmap/model_member_test.go
+++ b/cluster/shardmap/model_member_test.go
@@ -7,7 +7,8 @@
 	"rowanlink/webhook/api"
 )
 
-// What a member does with messages, as cluster/member must: each webhook under its own lock, one durable write at a time.
+// This file models what a member does with messages. As in cluster/member, each webhook is handled under its own lock,
+// with one durable write at a time.
 
 func (md *model) send(m message) {
 	i := slices.IndexFunc(md.network[:], func(m message) bool { return m.kind == noMessage })
@@ -25,36 +26,36 @@
 	copy(p.steps[:], steps)
 }
 
-// runSteps does a member's next step, and those that follow it up to the next durable write.
+// runSteps performs a member's next step, and those after it up to the next durable write or call.
 func (md *model) runSteps(i int8) {
 	p := &md.processes[i]
 	for first := true; p.isBusy() && (first || p.steps[0] >= stepSend && p.steps[0] != stepCall); first = false {
 		next, n := p.steps[0], p.webhook
 		copy(p.steps[:], p.steps[1:])
-		p.steps[maxSteps-1] = stepNothing
+		p.steps[maxSteps-1] = stepNone
 		c := &p.copies[n]
 		switch next {
 		case stepWriteRecord:
 			p.disk[n] = p.memory[n]
 		case stepJournalWebhook:
 			*c = webhookCopy{present: true, firstRunAt: p.outgoing.firstRunAt, move: p.outgoing.move}
-		case stepNoteRun:
+		case stepJournalFirstRun:
 			c.firstRunAt = p.outgoing.firstRunAt
 		case stepDropWebhook:
 			*c = webhookCopy{}
 		case stepEndWebhook:
 			*c, md.completed[n] = webhookCopy{}, true
 		case stepConfirmStoredAndSend:
-			p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) { k.ConfirmStored(name) })
+			p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) { table.ConfirmStored(id) })
 			md.sendPending(i)
 		case stepSend:
 			md.sendPending(i)
 		case stepAcceptToClient:
-			md.promised[n] = true
+			md.acknowledged[n] = true
 		case stepRollback:
 			p.memory[n] = p.rolledBack(n)
 		case stepCall:
-			md.callLands(i, n)
+			md.performCall(i, n)
 		}
 	}
 	if !p.isBusy() {
@@ -64,7 +65,7 @@
 
 func (p *processState) rolledBack(n int8) modelRecord {
 	e := p.memory[n]
-	e.withTable(n, func(k *CustodyTable, name WebhookID) { k.Rollback(name, p.before.record(name), p.before.known) })
+	e.withTable(n, func(table *CustodyTable, id WebhookID) { table.Rollback(id, p.before.record(id), p.before.known) })
 	return e
 }
 
@@ -76,7 +77,7 @@
 	}
 }
 
-func (md *model) callLands(i, n int8) {
+func (md *model) performCall(i, n int8) {
 	p := &md.processes[i]
 	md.effects[n]++
 	if md.effects[n] == 1 {
@@ -92,7 +93,7 @@
 	p.copies[n].calling = true
 }
 
-// receiveOffer handles an offer. With full, the webhook can't be stored.
+// receiveOffer handles an offer. If full is set, the webhook can't be stored.
 func (md *model) receiveOffer(m message, full bool) {
 	p := &md.processes[m.to]
 	r := message{
@@ -106,8 +107,8 @@
 		move:       m.move,
 	}
 	if p.isBusy() {
-		p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
-			r.reply, _ = k.HandleOffer(n, m.handoff, ttl, 0, true)
+		p.memory[m.webhook].withTable(m.webhook, func(table *CustodyTable, id WebhookID) {
+			r.reply, _ = table.HandleOffer(id, m.handoff, ttl, 0, true)
 		})
 		md.replyWhileArriving(r)
 		return
@@ -125,8 +126,8 @@
 		admits = a == AdmissionAccepted
 	}
 	var outcome OfferOutcome
-	p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
-		r.reply, outcome = k.HandleOffer(n, m.handoff, ttl, api.Micros(md.now), admits)
+	p.memory[m.webhook].withTable(m.webhook, func(table *CustodyTable, id WebhookID) {
+		r.reply, outcome = table.HandleOffer(id, m.handoff, ttl, api.Micros(md.now), admits)
 	})
 	p.outgoing.reply = r.reply
 	switch c := p.copies[m.webhook]; {
@@ -141,7 +142,7 @@
 	case outcome == OfferReturnsCopy:
 		p.outgoing.firstRunAt = earliest(p.outgoing.firstRunAt, c.firstRunAt)
 		p.copies[m.webhook].move = m.move
-		p.setSteps(m.webhook, stepNoteRun, stepWriteRecord, stepSend)
+		p.setSteps(m.webhook, stepJournalFirstRun, stepWriteRecord, stepSend)
 	case p.memory[m.webhook] != p.before:
 		p.setSteps(m.webhook, stepWriteRecord, stepSend)
 	default:
@@ -149,7 +150,7 @@
 	}
 }
 
-// earliest returns the earlier of two times, of which -1 is never.
+// earliest returns the earlier of two times, where -1 means never.
 func earliest(a, b int8) int8 {
 	if a < 0 || b < 0 {
 		return max(a, b)
@@ -164,7 +165,7 @@
 	md.runSteps(i)
 }
 
-// replyWhileArriving answers a message about a webhook between the write of its record and that of the webhook.
+// replyWhileArriving answers a message about a webhook whose record is written, but which is not stored itself yet.
 func (md *model) replyWhileArriving(r message) {
 	r.firstRunAt, r.move = -1, 0
 	if md.mutation.takenWhileArriving && r.reply == CustodyUnknown {
@@ -173,7 +174,7 @@
 	md.send(r)
 }
 
-// receiveQuery answers whether this member has a webhook.
+// receiveQuery answers whether this member has taken a webhook.
 func (md *model) receiveQuery(m message) {
 	p := &md.processes[m.to]
 	r := message{
@@ -186,8 +187,8 @@
 		firstRunAt: -1,
 	}
 	if p.isBusy() {
-		p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
-			r.reply, _ = k.HandleQuery(n, m.handoff, ttl)
+		p.memory[m.webhook].withTable(m.webhook, func(table *CustodyTable, id WebhookID) {
+			r.reply, _ = table.HandleQuery(id, m.handoff, ttl)
 		})
 		md.replyWhileArriving(r)
 		return
@@ -198,8 +199,8 @@
 		return
 	}
 	mustJournal := false
-	p.memory[m.webhook].withTable(m.webhook, func(k *CustodyTable, n WebhookID) {
-		r.reply, mustJournal = k.HandleQuery(n, m.handoff, ttl)
+	p.memory[m.webhook].withTable(m.webhook, func(table *CustodyTable, id WebhookID) {
+		r.reply, mustJournal = table.HandleQuery(id, m.handoff, ttl)
 	})
 	p.outgoing.reply = r.reply
 	if mustJournal && !md.mutation.neverNotJournalled {
@@ -209,15 +210,15 @@
 	md.sendReply(m.to, r.reply)
 }
 
-// timeOut is what follows when an offer or a query got no reply in time.
+// timeOut does what a member does when an offer or a query got no reply in time.
 func (md *model) timeOut(i, n int8) {
 	p := &md.processes[i]
 	m := p.awaiting[n]
 	p.awaiting[n] = message{}
 	if p.fromClient[n] {
 		kept := false
-		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
-			kept = k.RecordUnansweredForward(name, m.handoff, ttl, Offer{
+		p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) {
+			kept = table.RecordUnansweredForward(id, m.handoff, ttl, Offer{
 				To:          memberIDs[m.to],
 				Incarnation: uint64(m.incarnation),
 				Range:       1,
@@ -227,7 +228,7 @@
 			})
 		})
 		p.fromClient[n], p.outgoing = false, message{firstRunAt: -1}
-		md.promised[n] = md.promised[n] || !kept
+		md.acknowledged[n] = md.acknowledged[n] || !kept
 		if kept {
 			p.setSteps(n, stepWriteRecord, stepJournalWebhook, stepAcceptToClient)
 		}
@@ -236,17 +237,17 @@
 	md.resolveReply(i, n, m.handoff, CustodyUnknown, m.kind)
 }
 
-// resolveReply applies a reply at the member that queried or offered.
+// resolveReply processes the reply to an offer or a query at the member that sent it.
 func (md *model) resolveReply(i, n int8, handoff HandoffNumber, r CustodyReply, of messageKind) {
 	p := &md.processes[i]
 	s, o, out := StayInDoubt, Offer{}, false
-	p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
-		if md.mutation.rejectionFinal && k.records[name] != nil && r == CustodyRejected {
-			k.records[name].Offer.Uncertain = false
+	p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) {
+		if md.mutation.rejectionFinal && table.records[id] != nil && r == CustodyRejected {
+			table.records[id].Offer.Uncertain = false
 		}
-		s = k.HandleReply(name, handoff, r)
+		s = table.HandleReply(id, handoff, r)
 		var h HandoffNumber
-		o, h, out = k.OutstandingOffer(name)
+		o, h, out = table.OutstandingOffer(id)
 		out = out && h == handoff
 	})
 	if ran := api.Micros(p.copies[n].firstRunAt); s == StayInDoubt && out && of == queryMessage {
@@ -261,16 +262,16 @@
 	case KeepCopy:
 		p.setSteps(n, stepWriteRecord)
 	case DeadLetterCopy:
-		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) { k.HandleReply(name, handoff, CustodyTaken) })
+		p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) { table.HandleReply(id, handoff, CustodyTaken) })
 		p.setSteps(n, stepEndWebhook, stepWriteRecord)
 	case ForkCopy:
-		p.memory[n].withTable(n, func(k *CustodyTable, name WebhookID) {
-			k.Fork(name)
+		p.memory[n].withTable(n, func(table *CustodyTable, id WebhookID) {
+			table.Fork(id)
 			if md.mutation.forkNotRaised {
-				k.records[name].Handoff = handoff
+				table.records[id].Handoff = handoff
 			}
 		})
 		md.forked[n] = true
-		p.setSteps(n, stepNoteRun, stepWriteRecord)
+		p.setSteps(n, stepJournalFirstRun, stepWriteRecord)
 	}
 }
--- a/cluster/shardmap/model_mutants_test.go
+++ b/cluster/shardmap/model_mutants_test.go
@@ -10,21 +10,21 @@
 	"rowanlink/webhook/api"
 )
 
-// transitionRef names a transition of a start state's past.
+// transitionRef names one of the transitions that lead to a start state.
 type transitionRef struct {
 	name   string
 	target int8
 }
 
 // replay applies transitions to a state.
-func (md *model) replay(all ...transitionRef) *model {
-	for _, d := range all {
-		all := md.transitions(nil)
-		i := slices.IndexFunc(all, func(m transition) bool { return m.name == d.name && m.target == d.target })
+func (md *model) replay(refs ...transitionRef) *model {
+	for _, ref := range refs {
+		enabled := md.transitions(nil)
+		i := slices.IndexFunc(enabled, func(m transition) bool { return m.name == ref.name && m.target == ref.target })
 		if i < 0 {
-			panic("a start state has no such transition: " + d.name)
+			panic("this transition to a start state is not enabled: " + ref.name)
 		}
-		all[i].apply(md, d.target, all[i].webhook)
+		enabled[i].apply(md, ref.target, enabled[i].webhook)
 	}
 	return md
 }
@@ -69,18 +69,19 @@
 		transitionRef{"times out", 1})
 )
 
-// after returns a past with further transitions.
+// after returns the transitions of past, followed by those of next.
 func after(past []transitionRef, next ...transitionRef) []transitionRef {
 	return append(slices.Clone(past), next...)
 }
 
-// Each model has one mutation, outside the code under test. The search must find a violation, and none without it.
+// Each model has one mutation, in the code around the code under test. The search must find a violation, and none
+// without the mutation.
 func TestModelSearch_FindsMutations(t *testing.T) {
 	const two, lost, inFlight = "two members have custody of a webhook", "a webhook is lost",
 		"a call is in flight at the source when the target is the owner"
 	const once, unaware = api.AtMostOnce, "a custodian does not know that the webhook may have run"
 	moved := faultBudget{moves: 1, grants: 3, crashes: 1}
-	entered := faultBudget{clients: 1, isolations: 1, crashes: 1}
+	submitted := faultBudget{clients: 1, isolations: 1, crashes: 1}
 	for name, m := range map[string]struct {
 		mutation  mutation
 		semantics api.Semantics
@@ -110,7 +111,7 @@
 			mutation{ignoresIncarnation: true}, once, faultBudget{moves: 1, folderLosses: 1}, offerSent, two,
 		},
 		"called while in doubt": {
-			mutation{callsInDoubt: true}, once, entered, forwardedToOwner, unaware,
+			mutation{callsInDoubt: true}, once, submitted, forwardedToOwner, unaware,
 		},
 		"switch before the hand-off is over": {
 			mutation{releasesEarly: true}, once, moved, callDuringHandoff, inFlight,
@@ -119,7 +120,7 @@
 			mutation{forgetsFirstRun: true}, api.Deduplicated, faultBudget{moves: 1, unknownOutcomes: 1}, transferredAfterRun, unaware,
 		},
 		"stored is journalled late": {
-			mutation{storedNotJournalled: true}, once, entered, forwardedToOwner, unaware,
+			mutation{storedNotJournalled: true}, once, submitted, forwardedToOwner, unaware,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cluster/shardmap/model_owner_test.go
+++ b/cluster/shardmap/model_owner_test.go
@@ -22,7 +22,7 @@
 	t.add(enabled, transition{name: name, target: target, faultFree: faultFree, apply: apply})
 }
 
-// ownerTransitions appends those of map, lease and coordinator.
+// ownerTransitions appends the events that concern the map, the lease and the coordinator.
 func (md *model) ownerTransitions(all []transition) []transition {
 	t := transitionList(all)
 	t.addAt(md.leaseHeld && md.processes[md.holder].epoch != md.epoch, "the log ends the lease", 0, true,
@@ -37,7 +37,7 @@
 	return t
 }
 
-// addLeaseTransitions adds what a member does by its map and its lease.
+// addLeaseTransitions adds what a member does because of its map and its lease.
 func (md *model) addLeaseTransitions(t *transitionList, i int8) {
 	p, r, logged := &md.processes[i], md.mapOf(i).Ranges[0], md.loggedRange()
 	t.addAt(p.epoch == 0 && r.ShouldAcquire(memberIDs[i]) && !md.leaseHeld && md.budget.grants > 0, "is granted the lease", i, true,
@@ -63,7 +63,7 @@
 	})
 }
 
-// addOwnerFaults adds what happens to a member, and what the coordinator orders for it.
+// addOwnerFaults adds the faults of a member, and the coordinator's commands that make it the new owner.
 func (md *model) addOwnerFaults(t *transitionList, i int8) {
 	p, logged := &md.processes[i], md.loggedRange()
 	t.addAt(p.epoch != 0 && md.budget.expiries > 0, "its session expires", i, false, func(md *model, i, _ int8) {
@@ -101,7 +101,8 @@
 		})
 }
 
-// shouldRelease counts each copy that is here as outstanding; one that is in doubt was not handed over.
+// shouldRelease reports whether a member should release the lease. Each copy that is here counts as outstanding: one
+// that is in doubt was not handed over.
 func (md *model) shouldRelease(i int8, r Range) bool {
 	inFlight, outstanding := 0, 0
 	for _, c := range md.processes[i].copies {
@@ -129,25 +130,25 @@
 	}
 }
 
-func (md *model) canClear(i int8, v Move) bool {
-	isSource, isTarget := v.From == memberIDs[i], v.To == memberIDs[i]
-	if v.Step != StepSwitched || !isSource && !isTarget {
+func (md *model) canClear(i int8, move Move) bool {
+	isSource, isTarget := move.From == memberIDs[i], move.To == memberIDs[i]
+	if move.Step != StepSwitched || !isSource && !isTarget {
 		return false
 	}
-	if isSource && v.SourceCleared || isTarget && v.TargetCleared {
+	if isSource && move.SourceCleared || isTarget && move.TargetCleared {
 		return false
 	}
 	for n := range md.webhooks {
 		p := &md.processes[i]
 		isOffered := p.memory[n].to > 0
-		if isOffered && p.memory[n].move == uint8(v.ID) || !isOffered && p.copies[n].present {
+		if isOffered && p.memory[n].move == uint8(move.ID) || !isOffered && p.copies[n].present {
 			return false
 		}
 	}
 	return true
 }
 
-// crash restarts a member: what was not written is lost, messages in flight remain.
+// crash restarts a member. What it had not written is lost; messages in flight remain.
 func (md *model) crash(i int8) {
 	p := md.processes[i]
 	md.processes[i] = processState{incarnation: p.incarnation, mapID: p.mapID, disk: p.disk}
@@ -158,9 +159,9 @@
 			earlier = append(earlier, e.record(webhookID(int8(n))))
 		}
 	}
-	k := NewCustodyTable(earlier, func(n WebhookID) bool { return p.copies[n.LocalID-1].present })
+	table := NewCustodyTable(earlier, func(id WebhookID) bool { return p.copies[id.LocalID-1].present })
 	for n := range p.disk {
-		md.processes[i].memory[n] = modelRecordOf(k.Lookup(webhookID(int8(n))))
+		md.processes[i].memory[n] = modelRecordOf(table.Lookup(webhookID(int8(n))))
 		e := &md.processes[i].memory[n]
 		if md.mutation.doubtNotRecovered {
 			*e = modelRecord{
@@ -176,12 +177,12 @@
 
 func (md *model) loseFolder(i int8) {
 	for n, c := range md.processes[i].copies {
-		md.excused[n] = md.excused[n] || c.present
+		md.lossAllowed[n] = md.lossAllowed[n] || c.present
 	}
 	md.processes[i] = processState{incarnation: md.processes[i].incarnation + 1, mapID: md.processes[i].mapID}
 }
 
-// findViolation returns what must never happen and has, or an empty string.
+// findViolation returns the invariant that this state violates, or an empty string.
 func (md *model) findViolation() string {
 	for n := range md.webhooks {
 		custodians, copies, isUnaware := 0, 0, false
@@ -201,7 +202,7 @@
 			return "two members have custody of a webhook"
 		case isUnaware && md.effects[n] > 0 && md.semantics != api.Idempotent && !md.forked[n]:
 			return "a custodian does not know that the webhook may have run"
-		case copies == 0 && md.promised[n] && !md.completed[n] && !md.excused[n]:
+		case copies == 0 && md.acknowledged[n] && !md.completed[n] && !md.lossAllowed[n]:
 			return "a webhook is lost"
 		}
 	}
@@ -216,7 +217,8 @@
 
 func (md *model) decision(i int8) Decision { return md.mapOf(i).DecideKey(md.localMember(i), 0) }
 
-// rightEnded reports whether, by the member's map, the right is over by which the target of an offer could call.
+// rightEnded reports whether, by the member's map, the target of an offer no longer has the right by which it could
+// call.
 func (md *model) rightEnded(i int8, o Offer) bool {
 	m := md.mapOf(i)
 	r := m.Ranges[0]
--- a/cluster/shardmap/model_search_test.go
+++ b/cluster/shardmap/model_search_test.go
@@ -17,16 +17,17 @@
 
 func clusterEpoch(e uint8) cluster.Epoch { return cluster.Epoch(e) }
 
-// extraDepth is the number of transitions more than in CI: ROWAN_SEARCH_DEEPER=2 takes minutes.
+// extraDepth is the number of transitions by which the search goes deeper than in CI: ROWAN_SEARCH_DEEPER=2 takes
+// minutes.
 var extraDepth, _ = strconv.Atoi(os.Getenv("ROWAN_SEARCH_DEEPER"))
 
-// searchNode is how a state was first reached: from which state, by which of its transitions.
+// searchNode records how a state was first reached: from which state, and by which of its transitions.
 type searchNode struct {
 	from       *searchNode
 	transition int
 }
 
-// trace describes the transitions from the start on.
+// trace describes the transitions that lead from the start to the state.
 func (n *searchNode) trace(start model) string {
 	var path []int
 	for ; n.from != nil; n = n.from {
@@ -67,13 +68,13 @@
 	}
 	seen := map[uint64]struct{}{maphash.Comparable(hashSeed, *start): {}}
 	level := []reached{{*start, &searchNode{}}}
-	var moves []transition
+	var enabled []transition
 	for ; f.depth < depth && len(level) > 0; f.depth++ {
 		var next []reached
 		for l := range level {
 			at := &level[l]
-			moves = at.transitions(moves[:0])
-			for j, m := range moves {
+			enabled = at.transitions(enabled[:0])
+			for j, m := range enabled {
 				md := at.model
 				m.apply(&md, m.target, m.webhook)
 				key := maphash.Comparable(hashSeed, md)
@@ -100,20 +101,21 @@
 	return f
 }
 
-// quiesce continues without faults and returns what is not resolved by then. It appends how to trace, if not nil.
+// quiesce continues without faults. It returns the violation that it finds, also if a webhook is still not resolved
+// at the end. It appends the transitions to trace, if that is not nil.
 func (md model) quiesce(trace *string) (violation string) {
-	md.budget.grants, md.budget.clients = 100, 0 // what was never submitted isn't now
-	var moves []transition
+	md.budget.grants, md.budget.clients = 100, 0 // clients submit no more webhooks
+	var enabled []transition
 	for n := range 150 {
-		moves = md.transitions(moves[:0])
-		i := slices.IndexFunc(moves, func(m transition) bool { return m.faultFree })
+		enabled = md.transitions(enabled[:0])
+		i := slices.IndexFunc(enabled, func(m transition) bool { return m.faultFree })
 		if i < 0 {
 			break
 		}
 		if trace != nil && n < 30 {
-			*trace += "then " + md.describe(moves[i]) + "\n"
+			*trace += "then " + md.describe(enabled[i]) + "\n"
 		}
-		moves[i].apply(&md, moves[i].target, moves[i].webhook)
+		enabled[i].apply(&md, enabled[i].target, enabled[i].webhook)
 		if found := md.findViolation(); found != "" {
 			return found
 		}
@@ -128,7 +130,7 @@
 	return ""
 }
 
-// searchScenario is a start of the search, and the faults that it may choose from.
+// searchScenario is a start of the search, with the faults that the search may choose from.
 type searchScenario struct {
 	name              string
 	members, webhooks int8
@@ -253,8 +255,9 @@
 	},
 }
 
-// In every state within reach: a webhook has one custodian, which knows whether it may have run; it is called again
-// only where its event type allows that; it is lost only with its custodian's folder; once faults stop, it ends.
+// In every state within reach, a webhook has one custodian, which knows whether the webhook may have run. The webhook
+// is called again only where its event type allows that. It is lost only with its custodian's folder. Once faults
+// stop, it ends.
 func TestModelSearch_OneCustodianInEveryReachableState(t *testing.T) {
 	for _, s := range searchScenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -267,8 +270,8 @@
 	}
 }
 
-// newForkedModel returns a state after both members ended a doubt without knowing who has the webhook; each takes the
-// other for the range's owner.
+// newForkedModel returns a state after both members have ended a doubt without knowing who has the webhook. Each
+// member believes that the other one owns the range.
 func newForkedModel(m mutation) *model {
 	md := newModel(2, 1, api.Idempotent, faultBudget{grants: 3, failovers: 1, crashes: 1}, m)
 	md.leaseHeld, md.processes[0].epoch = false, 0
@@ -276,13 +279,13 @@
 	md.processes[0].mapID = md.mapID
 	for i := range md.members {
 		p := &md.processes[i]
-		p.memory[0].withTable(0, func(k *CustodyTable, n WebhookID) {
-			k.BeginOffer(n, ttl, Offer{To: memberIDs[1-i]})
-			k.Fork(n)
+		p.memory[0].withTable(0, func(table *CustodyTable, id WebhookID) {
+			table.BeginOffer(id, ttl, Offer{To: memberIDs[1-i]})
+			table.Fork(id)
 		})
 		p.disk, p.copies[0] = p.memory, webhookCopy{present: true, firstRunAt: 0}
 	}
-	md.forked[0], md.promised[0] = true, true
+	md.forked[0], md.acknowledged[0] = true, true
 	return md
 }
 
--- a/cluster/shardmap/model_test.go
+++ b/cluster/shardmap/model_test.go
@@ -8,9 +8,9 @@
 	"rowanlink/webhook/api"
 )
 
-// The model that the state-space search explores: members with their custody tables and journals, one range with its
-// map and lease in the log, and messages between members. Every decision is made by the code under test; the model
-// around it does what a member does, one durable write at a time, so that a crash can come between any two.
+// The model that the state-space search explores consists of members with their custody tables and journals, one range
+// with its map and lease in the log, and messages between members. The code under test makes every decision. The model
+// around it does what a member does, one durable write at a time, so that a crash can happen between any two.
 const (
 	maxMembers  = 3
 	maxWebhooks = 2
@@ -29,7 +29,7 @@
 	return WebhookID{Origin: memberIDs[0], Incarnation: 1, LocalID: uint64(webhook) + 1}
 }
 
-// modelRecord is a CustodyRecord as a small comparable value. to is a member's index + 1, or 0 for nobody.
+// modelRecord is a CustodyRecord as a small comparable value. to is the index of a member plus 1, or 0 for none.
 type modelRecord struct {
 	handoff, rejectedUpTo               HandoffNumber
 	known, present, arriving, uncertain bool
@@ -56,9 +56,9 @@
 	}
 }
 
-func (e modelRecord) record(n WebhookID) CustodyRecord {
+func (e modelRecord) record(id WebhookID) CustodyRecord {
 	r := CustodyRecord{
-		ID:           n,
+		ID:           id,
 		Handoff:      e.handoff,
 		RejectedUpTo: e.rejectedUpTo,
 		Present:      e.present,
@@ -79,23 +79,23 @@
 	return r
 }
 
-// withTable calls do with a table that holds only this record, and takes the record over from it.
+// withTable calls do with a table that contains only this record, and then copies the record back from the table.
 func (e *modelRecord) withTable(webhook int8, do func(*CustodyTable, WebhookID)) {
-	k, n := &CustodyTable{records: map[WebhookID]*CustodyRecord{}}, webhookID(webhook)
+	table, id := &CustodyTable{records: map[WebhookID]*CustodyRecord{}}, webhookID(webhook)
 	if e.known {
-		r := e.record(n)
-		k.records[n] = &r
+		r := e.record(id)
+		table.records[id] = &r
 	}
-	do(k, n)
-	*e = modelRecordOf(k.Lookup(n))
+	do(table, id)
+	*e = modelRecordOf(table.Lookup(id))
 }
 
-// webhookCopy is a member's copy of a webhook. firstRunAt is when it may have run first, -1: never.
+// webhookCopy is a member's copy of a webhook. firstRunAt is when the webhook may have run first; -1: never.
 type webhookCopy struct {
 	present    bool
 	firstRunAt int8
-	calling    bool  // in memory only, as the next
-	move       uint8 // by which it was transferred here
+	calling    bool  // a call is in flight; in memory only, like move
+	move       uint8 // the move by which it was transferred here
 }
 
 type messageKind uint8
@@ -108,10 +108,10 @@
 )
 
 // message is a message in flight. One attempt arrives at most once, as over TCP without retries (cluster/transport).
-// A retry duplicates it, and can be lost, late or duplicated like any other message.
+// A retry is a duplicate of it, which can itself be lost, late or duplicated like any other message.
 type message struct {
 	isRetry                            bool
-	kind, answerTo                     messageKind // answerTo: the kind that an answer is for
+	kind, answerTo                     messageKind // answerTo is the kind of the message that this one answers
 	from, to, webhook                  int8
 	handoff                            HandoffNumber
 	incarnation, move, version, sentAt uint8
@@ -138,15 +138,15 @@
 	)
 }
 
-// step is one step of what a member has begun. Steps before stepSend are durable writes; a crash can come between any
-// two.
+// step is one step of an action that a member has begun. The steps before stepSend are durable writes; a crash can
+// happen between any two.
 type step uint8
 
 const (
-	stepNothing step = iota
+	stepNone step = iota
 	stepWriteRecord
 	stepJournalWebhook
-	stepNoteRun // journal when the webhook may have run first
+	stepJournalFirstRun // journal when the webhook may have run first
 	stepDropWebhook
 	stepEndWebhook // journal the webhook's end and report it
 	stepSend       // from here on nothing is written
@@ -156,32 +156,32 @@
 	stepRollback // the webhook can't be stored
 )
 
-// processState is the state of one member.
+// processState is the state of a member's process and of its data folder.
 type processState struct {
 	incarnation             uint8  // of its folder
 	epoch                   uint8  // of the lease that it holds; 0: none
 	mapID                   uint16 // of its copy of the map
-	isolated, releasedLease bool   // releasedLease: it gave the lease up itself
+	isolated, releasedLease bool   // releasedLease: the member gave up the lease itself
 	memory, disk            [maxWebhooks]modelRecord
 	copies                  [maxWebhooks]webhookCopy
-	fromClient              [maxWebhooks]bool    // a client waits for the answer
-	awaiting                [maxWebhooks]message // whose reply it waits for
+	fromClient              [maxWebhooks]bool    // a client waits for the answer about the webhook
+	awaiting                [maxWebhooks]message // the message whose reply the member waits for
 	steps                   [maxSteps]step
-	webhook                 int8 // that the steps are about
+	webhook                 int8 // the webhook that the steps concern
 	outgoing                message
-	before                  modelRecord // for stepRollback
+	before                  modelRecord // the record to restore by stepRollback
 }
 
-func (p *processState) isBusy() bool { return p.steps[0] != stepNothing }
+func (p *processState) isBusy() bool { return p.steps[0] != stepNone }
 
-// hasCustody reports whether nothing but the map keeps the member from calling.
+// hasCustody reports whether, apart from the map, the member may call the webhook.
 func (p *processState) hasCustody(webhook int8) bool {
 	isChanging := p.isBusy() && p.webhook == webhook && p.steps[0] != stepCall
 	return p.copies[webhook].present && p.memory[webhook].to == 0 && !isChanging
 }
 
-// faultBudget is how often each fault and command may still happen. clients is a bit set of webhooks that clients are
-// yet to submit.
+// faultBudget is how often each fault and command may still happen. clients is a bit set of the webhooks that clients
+// have yet to submit.
 type faultBudget struct {
 	crashes, folderLosses, duplicates, rejections int8
 	moves, reverts, failovers                     int8
@@ -189,7 +189,7 @@
 	clockTicks, clients                           int8
 }
 
-// mutation is a fault that is put into the model, to see that the search finds it.
+// mutation selects a fault that is put into the model, to show that the search finds it.
 type mutation struct {
 	takenBeforeRecord, takenWhileArriving bool
 	neverNotJournalled, doubtNotRecovered bool
@@ -199,24 +199,24 @@
 	forkNotRaised, storedNotJournalled    bool
 }
 
-// model is one state.
+// model is one state of the search.
 type model struct {
-	maps                   *mapStore
-	members, webhooks      int8
-	semantics              api.Semantics
-	mutation               mutation
-	budget                 faultBudget
-	now                    uint8
-	mapID                  uint16 // of the map in the log
-	holder                 int8
-	epoch                  uint8
-	leaseHeld              bool
-	processes              [maxMembers]processState
-	network                [maxMessages]message
-	promised, completed    [maxWebhooks]bool // promised: the client received the acceptance
-	excused, forked        [maxWebhooks]bool // excused: a copy was lost with its folder
-	effects, firstEffectAt [maxWebhooks]int8
-	violation              string
+	maps                    *mapStore
+	members, webhooks       int8
+	semantics               api.Semantics
+	mutation                mutation
+	budget                  faultBudget
+	now                     uint8
+	mapID                   uint16 // of the map in the log
+	holder                  int8
+	epoch                   uint8
+	leaseHeld               bool
+	processes               [maxMembers]processState
+	network                 [maxMessages]message
+	acknowledged, completed [maxWebhooks]bool // acknowledged: the client received the acceptance
+	lossAllowed, forked     [maxWebhooks]bool // lossAllowed: a copy was lost with its folder
+	effects, firstEffectAt  [maxWebhooks]int8
+	violation               string
 }
 
 func (md *model) eventType() api.EventType {
@@ -231,28 +231,28 @@
 	return cluster.LeaseHolder{Session: 1, Member: memberIDs[md.holder], Epoch: cluster.Epoch(md.epoch)}, true
 }
 
-// mapStore numbers all maps of one search by their encoding.
+// mapStore assigns a number to each map of one search, by its encoding.
 type mapStore struct {
 	all []*Map
 	ids map[string]uint16
 }
 
-func (c *mapStore) id(m *Map) uint16 {
+func (s *mapStore) id(m *Map) uint16 {
 	b, err := m.Snapshot()
 	if err != nil {
 		panic(err)
 	}
-	id, known := c.ids[string(b)]
+	id, known := s.ids[string(b)]
 	if !known {
-		id = uint16(len(c.all))
-		if int(id) != len(c.all) {
+		id = uint16(len(s.all))
+		if int(id) != len(s.all) {
 			panic("more maps than a model can number")
 		}
-		own := New(nil)
-		if err := own.Restore(b); err != nil {
+		stored := New(nil)
+		if err := stored.Restore(b); err != nil {
 			panic(err)
 		}
-		c.ids[string(b)], c.all = id, append(c.all, own)
+		s.ids[string(b)], s.all = id, append(s.all, stored)
 	}
 	return id
 }
@@ -260,8 +260,8 @@
 func (md *model) loggedRange() Range { return md.maps.all[md.mapID].Ranges[0] }
 func (md *model) mapOf(i int8) *Map  { return md.maps.all[md.processes[i].mapID] }
 
-// newModel returns a state in which member a serves the range. It has the webhooks, or else clients are yet to submit
-// them, anywhere.
+// newModel returns a state in which member a serves the range. Member a has the webhooks, unless the budget contains
+// clients: then these are yet to submit them, to any member.
 func newModel(members, webhooks int8, semantics api.Semantics, budget faultBudget, m mutation) *model {
 	md := &model{
 		maps:      &mapStore{ids: map[string]uint16{}},
@@ -290,7 +290,7 @@
 	md.processes[0].epoch = 1
 	for i := range webhooks {
 		if budget.clients == 0 {
-			md.processes[0].copies[i], md.promised[i] = webhookCopy{present: true, firstRunAt: -1}, true
+			md.processes[0].copies[i], md.acknowledged[i] = webhookCopy{present: true, firstRunAt: -1}, true
 		}
 	}
 	return md
--- a/cluster/shardmap/model_walk_test.go
+++ b/cluster/shardmap/model_walk_test.go
@@ -11,7 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Long random walks with every fault, beyond the reach of the search. Each one is quiesced at its end.
+// Long random walks with every kind of fault reach states that are too deep for the search. Each walk is quiesced at
+// its end.
 func TestModelWalk_OneCustodianOnLongRandomWalks(t *testing.T) {
 	semantics := []api.Semantics{api.AtMostOnce, api.Deduplicated, api.Idempotent}
 	random := rand.New(rand.NewPCG(35, 2))
@@ -35,11 +36,11 @@
 		md := newModel(int8(2+n%2), int8(1+n/4%2), semantics[n%3], budget, mutation{})
 		var lines []string
 		for range 100 {
-			moves := md.transitions(nil)
-			if len(moves) == 0 {
+			enabled := md.transitions(nil)
+			if len(enabled) == 0 {
 				break
 			}
-			m := moves[random.IntN(len(moves))]
+			m := enabled[random.IntN(len(enabled))]
 			lines = append(lines, md.describe(m))
 			m.apply(md, m.target, m.webhook)
 			require.Empty(t, md.findViolation(), strings.Join(lines, "\n"))
--- a/cluster/shardmap/move_test.go
+++ b/cluster/shardmap/move_test.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 )
 
-// mapWithMove returns a map whose only range moves from a to b; the move has the id 3.
+// mapWithMove returns a map whose only range moves from a to b, by the move with the id 3.
 func mapWithMove(step MoveStep) *Map {
 	owner := cluster.MemberID("a")
 	if step == StepSwitched {
--- a/cluster/shardmap/snapshot_test.go
+++ b/cluster/shardmap/snapshot_test.go
@@ -9,7 +9,7 @@
 	"rowanlink/cluster"
 )
 
-// FuzzMap: arbitrary bytes are rejected, or are a consistent map, which stays consistent under any command.
+// FuzzMap: arbitrary bytes either are rejected or are a consistent map, which stays consistent under any command.
 func FuzzMap(f *testing.F) {
 	m := New(newFakeLeases())
 	commands := []cluster.Command{
