--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -35,7 +35,7 @@
 		return nil, m.applyPlacement(now, c.Groups)
 	case opConfirmPlacement:
 		return nil, m.removeMisplaced(func(d MisplacedDestination) bool {
-			return d.Grant.Range == c.Range && d.Grant.Epoch == c.Epoch && d.Grant.Since <= c.Seen
+			return d.Grant.Range == c.Range && d.Grant.Epoch == c.Epoch && d.Grant.Since <= c.MapVersion
 		})
 	case opSweepMisplaced:
 		return nil, m.removeMisplaced(func(d MisplacedDestination) bool { return !m.isHeld(d.Grant) })
--- a/cluster/shardmap/apply_moves.go
+++ b/cluster/shardmap/apply_moves.go
@@ -45,7 +45,7 @@
 		return cluster.ErrAlreadyHeld
 	}
 	r.Epoch, r.Status = c.Epoch, OwnerServing
-	isObsolete := func(g PriorGrant) bool { return g.Since <= c.Seen || !m.isHeld(g) }
+	isObsolete := func(g PriorGrant) bool { return g.Since <= c.MapVersion || !m.isHeld(g) }
 	r.PriorGrants = slices.DeleteFunc(slices.Clone(r.PriorGrants), isObsolete)
 	return nil
 }
--- a/cluster/shardmap/apply_ranges.go
+++ b/cluster/shardmap/apply_ranges.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	if n < 1 || n > maxRanges || !(total > 0) || math.IsInf(total, 0) {
-		return nil, fmt.Errorf("shardmap: %d ranges for a total weight of %v", n, total)
+		return nil, fmt.Errorf("shardmap: can't distribute %d ranges over a total weight of %v", n, total)
 	}
 	size := uint64(maxKeyHash) / uint64(n)
 	member, cumulative := 0, members[0].Weight // cumulative is the weight of the members up to and including this one
@@ -61,7 +61,7 @@
 	total := 0.0
 	for _, w := range members {
 		if !(w.Weight >= 0) || math.IsInf(w.Weight, 0) || w.Member == "" {
-			return 0, fmt.Errorf("shardmap: member %q has weight %v", w.Member, w.Weight)
+			return 0, fmt.Errorf("shardmap: member %q has no name or an invalid weight: %v", w.Member, w.Weight)
 		}
 		total += w.Weight
 	}
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -42,20 +42,20 @@
 
 // command is the body of a log entry. Which fields are set depends on Op.
 type command struct {
-	Op        operation        `cbor:"1,keyasint"`
-	Range     cluster.RangeID  `cbor:"2,keyasint,omitempty"`
-	Other     cluster.RangeID  `cbor:"3,keyasint,omitempty"` // opMerge: the range that is merged into Range
-	Key       cluster.KeyHash  `cbor:"4,keyasint,omitempty"` // opSplit: where the upper range begins
-	From      cluster.MemberID `cbor:"5,keyasint,omitempty"`
-	Member    cluster.MemberID `cbor:"6,keyasint,omitempty"`
-	Epoch     cluster.Epoch    `cbor:"7,keyasint,omitempty"`
-	Move      MoveID           `cbor:"8,keyasint,omitempty"`
-	Step      MoveStep         `cbor:"9,keyasint,omitempty"`
-	Seen      cluster.Version  `cbor:"10,keyasint,omitempty"` // version of the map that the proposer serves by
-	Count     int              `cbor:"11,keyasint,omitempty"` // opInitialize: the number of ranges
-	Members   []MemberWeight   `cbor:"12,keyasint,omitempty"`
-	Takeovers []Takeover       `cbor:"13,keyasint,omitempty"`
-	Groups    []PlacementGroup `cbor:"14,keyasint,omitempty"`
+	Op         operation        `cbor:"1,keyasint"`
+	Range      cluster.RangeID  `cbor:"2,keyasint,omitempty"`
+	Other      cluster.RangeID  `cbor:"3,keyasint,omitempty"` // opMerge: the range that is merged into Range
+	Key        cluster.KeyHash  `cbor:"4,keyasint,omitempty"` // opSplit: where the upper range begins
+	From       cluster.MemberID `cbor:"5,keyasint,omitempty"` // opPlanMove: the present owner
+	Member     cluster.MemberID `cbor:"6,keyasint,omitempty"`
+	Epoch      cluster.Epoch    `cbor:"7,keyasint,omitempty"`
+	Move       MoveID           `cbor:"8,keyasint,omitempty"`
+	Step       MoveStep         `cbor:"9,keyasint,omitempty"`
+	MapVersion cluster.Version  `cbor:"10,keyasint,omitempty"` // by which the proposer serves
+	Count      int              `cbor:"11,keyasint,omitempty"` // opInitialize: the number of ranges
+	Members    []MemberWeight   `cbor:"12,keyasint,omitempty"`
+	Takeovers  []Takeover       `cbor:"13,keyasint,omitempty"`
+	Groups     []PlacementGroup `cbor:"14,keyasint,omitempty"`
 }
 
 // encode returns the command as a log entry that is fenced by the epoch of a lease on a resource. If the resource is
@@ -125,12 +125,12 @@
 	return e.command(command{Op: opSweepMisplaced})
 }
 
-// ConfirmOwner states that a range's owner holds the range's lease. seen is the version of the map by which it will
-// serve.
+// ConfirmOwner states that a range's owner holds the range's lease. mapVersion is the version of the map by which it
+// will serve.
 func ConfirmOwner(
-	id cluster.RangeID, owner cluster.MemberID, epoch cluster.Epoch, seen cluster.Version,
+	id cluster.RangeID, owner cluster.MemberID, epoch cluster.Epoch, mapVersion cluster.Version,
 ) cluster.Command {
-	c := command{Op: opConfirmOwner, Range: id, Member: owner, Epoch: epoch, Seen: seen}
+	c := command{Op: opConfirmOwner, Range: id, Member: owner, Epoch: epoch, MapVersion: mapVersion}
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
@@ -150,9 +150,9 @@
 	return command{Op: opClearMove, Move: move, Member: member}.encode("", 0)
 }
 
-// ConfirmPlacement states that the owner of a range serves by the map of version seen or a newer one, and that it has
-// no call in flight for a destination that was placed elsewhere up to that version.
-func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, seen cluster.Version) cluster.Command {
-	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, Seen: seen}
+// ConfirmPlacement states that the owner of a range serves by a map of mapVersion or newer, and that it has no call
+// in flight for a destination that was placed elsewhere up to that version.
+func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, mapVersion cluster.Version) cluster.Command {
+	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, MapVersion: mapVersion}
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
--- a/cluster/shardmap/custody_record.go
+++ b/cluster/shardmap/custody_record.go
@@ -36,7 +36,7 @@
 type Offer struct {
 	To          cluster.MemberID `cbor:"1,keyasint,omitempty"`
 	Incarnation uint64           `cbor:"2,keyasint,omitempty"` // of that member's folder
-	Move        MoveID           `cbor:"3,keyasint,omitempty"` // by which it is transferred; 0: forwarded to the range's owner
+	Move        MoveID           `cbor:"3,keyasint,omitempty"` // the move that transfers it; 0: forwarded to the owner
 	Range       cluster.RangeID  `cbor:"4,keyasint,omitempty"`
 	Epoch       cluster.Epoch    `cbor:"5,keyasint,omitempty"` // under which the range was served when the offer was made
 	SentAt      api.Micros       `cbor:"6,keyasint,omitempty"` // just before the offer was sent
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -11,7 +11,7 @@
 	CustodyTaken                         // it has taken the webhook: it is in custody there, has ended or was handed off
 	CustodyNever                         // it has not taken the webhook, and is bound never to take it by this hand-off
 	CustodyStateLost                     // its data folder was replaced since the offer, so it can't tell
-	CustodyRejected                      // it has not taken the webhook by this attempt; another attempt may still be taken
+	CustodyRejected                      // it has not taken the webhook by this attempt, but may by another one
 )
 
 // OfferOutcome is what a member does with a webhook that it was offered.
--- a/cluster/shardmap/decision.go
+++ b/cluster/shardmap/decision.go
@@ -82,8 +82,8 @@
 }
 
 // IsolationSuspected reports whether possibly no range has a serving owner anywhere, as far as a member can tell. Its
-// own session expired at expiredAt (api.Never: it has not), and a whole lease TTL has passed since. Within this time
-// every session whose last renewal was before that of its own has ended too. If only this member is partitioned, the
+// own session expired at expiredAt (api.Never: it has not), and a whole lease TTL has passed since. In that time,
+// every session that was last renewed before the member's own has ended too. If only this member is partitioned, the
 // ranges do have owners; its calls then come in addition to theirs, at an even share of the rate at most.
 func IsolationSuspected(expiredAt, now, ttl api.Micros) bool {
 	return expiredAt != api.Never && now-expiredAt > ttl
@@ -101,8 +101,9 @@
 	return 0
 }
 
-// AllowsCall reports whether a webhook may be called now. ordered: it belongs to an ordered event type and has a key.
-// Such a webhook may not be called while isolated: an earlier one of its key may be at an owner that is unreachable.
+// AllowsCall reports whether a webhook may be called now. ordered states that the webhook belongs to an ordered event
+// type and has a key. Such a webhook may not be called while isolated: an earlier one of its key may be at an owner
+// that is unreachable.
 func (d Decision) AllowsCall(ordered bool) bool {
 	return d.Action == Serve || d.Action == ServeIsolated && !ordered
 }
--- a/cluster/shardmap/map_test.go
+++ b/cluster/shardmap/map_test.go
@@ -91,9 +91,9 @@
 }
 
 // randomCommand returns a command that is likely to be accepted in the state of a range. Alternatively it changes a
-// lease and returns no command. ofOwner reports whether the proposer is a member that serves by the map seen.
+// lease and returns no command. ofOwner reports whether the proposer is a member that serves by memberMap.
 func randomCommand(
-	random *rand.Rand, m *Map, l fakeLeases, r Range, seen *Map,
+	random *rand.Rand, m *Map, l fakeLeases, r Range, memberMap *Map,
 ) (c cluster.Command, ofOwner bool) {
 	lease, coordinator := cluster.RangeOwnerResource(r.ID), Coordinator(1)
 	member := cluster.MemberID(rune('a' + random.IntN(3)))
@@ -104,7 +104,7 @@
 		return coordinator.SweepMisplaced(), false
 	} else if n == 1 && slices.ContainsFunc(m.Misplaced,
 		func(d MisplacedDestination) bool { return d.Grant.Range == r.ID }) {
-		return ConfirmPlacement(r.ID, l.epochs[lease], seen.Version), true
+		return ConfirmPlacement(r.ID, l.epochs[lease], memberMap.Version), true
 	}
 	switch n := random.IntN(10); {
 	case n < 1:
@@ -121,7 +121,7 @@
 	case n < 5 && !r.Move.IsOpen():
 		return coordinator.FailOver([]Takeover{{r.ID, r.Owner, member}}), false
 	case n < 7 && r.Move.Step < StepHandoff && l.epochs[lease] > r.Epoch:
-		return ConfirmOwner(r.ID, l.holders[lease], l.epochs[lease], seen.Version), true
+		return ConfirmOwner(r.ID, l.holders[lease], l.epochs[lease], memberMap.Version), true
 	case r.Move.IsOpen() && r.Move.Step < StepHandoff:
 		return coordinator.AdvanceMove(r.Move.ID, r.Move.Step+1), false
 	case r.Move.Step == StepHandoff && n < 9:
@@ -163,14 +163,14 @@
 func (v *mapVersions) applyRandom(t *testing.T, random *rand.Rand) bool {
 	t.Helper()
 	r := v.Ranges[random.IntN(len(v.Ranges))]
-	seen := v.old[max(0, len(v.old)-1-random.IntN(6))]
-	command, ofOwner := randomCommand(random, v.Map, v.leases, r, seen)
+	memberMap := v.old[max(0, len(v.old)-1-random.IntN(6))]
+	command, ofOwner := randomCommand(random, v.Map, v.leases, r, memberMap)
 	resource := cluster.RangeOwnerResource(r.ID)
 	holder, held := v.leases.holders[resource]
 	if command.FencedBy == resource && !held {
 		return false // cluster.ErrFenced
 	}
-	isOutdated := ofOwner && seen.Version < v.oldest[holder]
+	isOutdated := ofOwner && memberMap.Version < v.oldest[holder]
 	if command.Body == nil || isOutdated {
 		return true
 	}
@@ -181,7 +181,7 @@
 	require.NoError(t, v.validate())
 	v.old = append(v.old, copyOf(t, v.Map))
 	if ofOwner {
-		v.oldest[holder] = max(v.oldest[holder], seen.Version)
+		v.oldest[holder] = max(v.oldest[holder], memberMap.Version)
 	}
 	return true
 }
@@ -205,7 +205,7 @@
 // split, merged, moved and lost.
 func TestMap_NoTwoMembersServeAKeyByAnyVersions(t *testing.T) {
 	random := rand.New(rand.NewPCG(35, 3))
-	served, seen := 0, map[string]int{}
+	served, observed := 0, map[string]int{}
 	for range 1500 {
 		v := newMapVersions(t)
 		for range 70 {
@@ -216,18 +216,18 @@
 				servers := v.servers(func(m *Map, member LocalMember) Decision { return m.DecideKey(member, r.From) })
 				require.LessOrEqual(t, len(servers), 1, "of %+v", r)
 				served += len(servers)
-				seen[fmt.Sprint("step ", r.Move.Step)]++
+				observed[fmt.Sprint("step ", r.Move.Step)]++
 			}
 			for destination := api.DestinationID(1); destination <= 3; destination++ {
 				servers := v.servers(func(m *Map, member LocalMember) Decision {
 					return m.DecideDestination(member, destination)
 				})
 				require.LessOrEqual(t, len(servers), 1, "of destination %d, misplaced %+v", destination, v.Misplaced)
-				seen["misplaced"] += len(v.MisplacedOf(destination))
+				observed["misplaced"] += len(v.MisplacedOf(destination))
 			}
 		}
 	}
-	t.Logf("served %d times, seen at %v", served, seen)
+	t.Logf("served %d times; observed %v", served, observed)
 	assert.Positive(t, served)
 }
 
--- a/cluster/shardmap/misplaced.go
+++ b/cluster/shardmap/misplaced.go
@@ -42,8 +42,8 @@
 	return m.Misplaced[first:last]
 }
 
-// MisplacedByGrant returns the destinations that the member served under its own grants and that are placed elsewhere
-// now, by grant. Since is 0 in the keys.
+// MisplacedByGrant returns, for each grant that the member holds, the destinations that it served under the grant and
+// that are placed elsewhere now. Since is 0 in the keys.
 func (m *Map) MisplacedByGrant(member LocalMember) map[PriorGrant][]api.DestinationID {
 	destinations := map[PriorGrant][]api.DestinationID{}
 	for _, d := range m.Misplaced {
--- a/cluster/shardmap/resolution.go
+++ b/cluster/shardmap/resolution.go
@@ -20,9 +20,9 @@
 // the last attempt can be made.
 //
 // An owner that does not answer may have called. A webhook that may run twice is then sent to the next owner under
-// the same id: if the first owner returns with its copy, the id shows that one custodian is enough. A webhook that
-// may not run twice waits for the answer until it expires. So does one with an idempotency token: if the first owner
-// serves again before the two copies meet, it would count the token's window from its own first call.
+// the same id: if the first owner returns with its copy, the id shows that only one custodian is needed. A webhook
+// that may not run twice waits for the answer until it expires. So does one with an idempotency token: if the first
+// owner serves again before the two copies meet, it would count the token's window from its own first call.
 func (o Offer) Resolve(
 	reply CustodyReply, ended bool, eventType api.EventType, firstRunAt, lastAttemptAt, now api.Micros,
 ) Resolution {
--- a/cluster/shardmap/transfer.go
+++ b/cluster/shardmap/transfer.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// WebhookID identifies a webhook in the whole cluster, from its acceptance by the origin, the member that its client
-// submitted it to, until its end.
+// WebhookID identifies a webhook in the whole cluster until its end. Origin is the member that accepted the webhook
+// from its client.
 type WebhookID struct {
 	Origin      cluster.MemberID `cbor:"1,keyasint"`
 	Incarnation uint64           `cbor:"2,keyasint"` // of the origin's data folder: local ids start anew with it
