--- a/cluster/member/custody/compatibility_test.go
+++ b/cluster/member/custody/compatibility_test.go
@@ -29,9 +29,9 @@
 	assert.Equal(t, 4, s.table.Len())
 	want := map[inflight.RequestID]shardmap.CustodyRecord{
 		"offered": {
-			Handoff: 1,
-			Present: true,
-			TTL:     ttl,
+			Handoff:  1,
+			Present:  true,
+			Deadline: ttl,
 			Offer: shardmap.Offer{
 				To:          "m2",
 				Incarnation: 3,
@@ -42,9 +42,9 @@
 				Uncertain:   true,
 			},
 		},
-		"ended":    {Handoff: 1, TTL: ttl},
-		"arriving": {Handoff: 2, Present: true, TTL: ttl},
-		"asked":    {RejectedUpTo: 4, TTL: ttl},
+		"ended":    {Handoff: 1, Deadline: ttl},
+		"arriving": {Handoff: 2, Present: true, Deadline: ttl},
+		"asked":    {RejectedUpTo: 4, Deadline: ttl},
 	}
 	for requestID, record := range want {
 		record.ID = IDOf(requestID)
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -53,7 +53,7 @@
 	assert.False(t, next.IsInDoubt("ended"))
 	update(t, next, "queried", func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
 		reply, _ := table.HandleOffer(id, 4, ttl, inflight.Now(), true)
-		assert.Equal(t, shardmap.CustodyNever, reply, "a reply CustodyNever is binding")
+		assert.Equal(t, shardmap.CustodyNeverTaken, reply, "a reply CustodyNeverTaken is binding")
 	})
 	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a new folder has another incarnation")
 }
@@ -74,7 +74,7 @@
 		s = openStore(t, dir, 1, "stored")
 		for requestID, want := range map[inflight.RequestID]shardmap.CustodyReply{
 			"stored": shardmap.CustodyTaken,
-			"lost":   shardmap.CustodyNever,
+			"lost":   shardmap.CustodyNeverTaken,
 		} {
 			update(t, s, requestID, func(table *shardmap.CustodyTable, id shardmap.WebhookID) {
 				reply, _ := table.HandleQuery(id, 1, ttl)
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -154,7 +154,7 @@
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
-		case reply.Reply == shardmap.CustodyNever: // its TTL has passed: it ends here
+		case reply.Reply == shardmap.CustodyNeverTaken: // its TTL has passed: it ends here
 			return forwardResult{outcome: keptHere}
 		case !shardmap.ShouldFollowRedirect(decision, reply.Decision, reply.Admission, hops):
 			return forwardResult{outcome: retryLater}
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -96,7 +96,7 @@
 	admission, decision := in.admit(in.transfer, transferred)
 	in.before[i] = in.Custody.SaveRecord(transferred.ID)
 	admits := admission == shardmap.AdmissionAccepted && w != nil
-	reply, outcome := t.HandleOffer(transferred.ID, transferred.Handoff, transferred.TTL, now, admits)
+	reply, outcome := t.HandleOffer(transferred.ID, transferred.Handoff, transferred.Deadline, now, admits)
 	in.outcomes[i].Reply = reply
 	if reply == shardmap.CustodyRejected && admission != shardmap.AdmissionAccepted {
 		in.outcomes[i].Admission, in.outcomes[i].Decision = admission, decision
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -99,8 +99,8 @@
 	return r.clockOffsets[sender].Observe(sentAt, inflight.Now(), r.MaxClockDrift)
 }
 
-// HandleQuery replies to a member with webhooks in doubt. CustodyNever is recorded before it is sent, so that an offer
-// that is still in flight is rejected when it arrives.
+// HandleQuery replies to a member with webhooks in doubt. CustodyNeverTaken is recorded before it is sent, so that an
+// offer that is still in flight is rejected when it arrives.
 func (r *Receiver) HandleQuery(ctx *fasthttp.RequestCtx) {
 	var queries []peer.CustodyQuery
 	if err := transport.Decode(ctx.Request.Body(), &queries); err != nil {
@@ -114,7 +114,7 @@
 		ids[i] = q.ID
 		switch {
 		case q.Incarnation == 0: // offered before an incarnation was known: no folder accepts such an offer
-			replies[i] = shardmap.CustodyNever
+			replies[i] = shardmap.CustodyNeverTaken
 		case q.Incarnation != r.Custody.Incarnation:
 			replies[i] = shardmap.CustodyStateLost
 		}
--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -23,7 +23,8 @@
 	return NewReceiver(Config{Custody: store})
 }
 
-// After CustodyNever the webhook is not accepted any more; about another incarnation the reply is CustodyStateLost.
+// After CustodyNeverTaken the webhook is not accepted any more; about another incarnation the reply is
+// CustodyStateLost.
 func TestReceiver_QueryReplyDependsOnIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	id := custody.IDOf("never sent")
@@ -36,11 +37,12 @@
 	r.HandleQuery(&ctx)
 	var replies []shardmap.CustodyReply
 	require.NoError(t, transport.Decode(ctx.Response.Body(), &replies))
-	assert.Equal(t, []shardmap.CustodyReply{shardmap.CustodyNever, shardmap.CustodyNever, shardmap.CustodyStateLost},
-		replies)
+	assert.Equal(t, []shardmap.CustodyReply{
+		shardmap.CustodyNeverTaken, shardmap.CustodyNeverTaken, shardmap.CustodyStateLost,
+	}, replies)
 	r.Custody.UpdateUnsynced(func(table *shardmap.CustodyTable) {
 		reply, _ := table.HandleOffer(id, 3, inflight.Now()+api.Second, inflight.Now(), true)
-		assert.Equal(t, shardmap.CustodyNever, reply)
+		assert.Equal(t, shardmap.CustodyNeverTaken, reply)
 	})
 }
 
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -88,7 +88,7 @@
 // keepCopy continues with a webhook that the other member never took. It returns false if that has to be tried again.
 func (m *Manager) keepCopy(d inDoubt) (kept bool) {
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
-		kept = t.HandleReply(d.id, d.handoff, shardmap.CustodyNever) == shardmap.KeepCopy
+		kept = t.HandleReply(d.id, d.handoff, shardmap.CustodyNeverTaken) == shardmap.KeepCopy
 	})
 	if !kept || err != nil {
 		return false
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -64,7 +64,7 @@
 		Tenant:       w.Tenant,
 		Key:          w.OrderingKey,
 		Destination:  w.Destination,
-		TTL:          w.Deadline,
+		Deadline:     w.Deadline,
 		Attempts:     w.Attempts,
 		FirstRunAt:   w.MayHaveRunAt,
 		Zone:         w.Zone,
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.ReceivedAt, w.Deadline = inflight.Now(), t.TTL
+	w.ReceivedAt, w.Deadline = inflight.Now(), t.Deadline
 	if t.Attempts > 0 || t.FirstRunAt != api.Never {
 		w.Prior = &inflight.PriorAttempts{Attempts: t.Attempts, MayHaveRunAt: t.FirstRunAt, Zone: t.Zone}
 	}
--- a/cluster/shardmap/custody_record.go
+++ b/cluster/shardmap/custody_record.go
@@ -19,7 +19,7 @@
 	Handoff      HandoffNumber `cbor:"2,keyasint,omitempty"` // the highest by which the webhook was taken or offered here
 	RejectedUpTo HandoffNumber `cbor:"3,keyasint,omitempty"` // no hand-off up to this number is taken any more
 	Present      bool          `cbor:"4,keyasint,omitempty"` // in custody or in doubt here, or ended here; not handed off
-	TTL          api.Micros    `cbor:"5,keyasint"`
+	Deadline     api.Micros    `cbor:"5,keyasint"`           // when the webhook expires
 	Offer        Offer         `cbor:"6,keyasint"`           // if To is empty, no other member can have the webhook
 	Arriving     bool          `cbor:"7,keyasint,omitempty"` // the webhook is possibly not in the webhook journal yet
 }
--- a/cluster/shardmap/custody_source.go
+++ b/cluster/shardmap/custody_source.go
@@ -5,8 +5,8 @@
 // BeginOffer records that a webhook held here is about to be offered, and returns the number of the hand-off. If the
 // webhook is offered again to the member that may already have it, the number is the same as before. BeginOffer
 // returns false if another member may have the webhook; that member must be queried first.
-func (t *CustodyTable) BeginOffer(id WebhookID, ttl api.Micros, offer Offer) (HandoffNumber, bool) {
-	r := t.recordOf(id, ttl)
+func (t *CustodyTable) BeginOffer(id WebhookID, deadline api.Micros, offer Offer) (HandoffNumber, bool) {
+	r := t.recordOf(id, deadline)
 	if r.hasOffer() {
 		isSameTarget := r.Offer.To == offer.To && r.Offer.Incarnation == offer.Incarnation
 		return r.Handoff, isSameTarget
@@ -20,9 +20,9 @@
 // whether it took the webhook, and a query may have raised the next number meanwhile. It returns false if the webhook
 // has come back since: the other member had taken it, and this one keeps no copy.
 func (t *CustodyTable) RecordUnansweredForward(
-	id WebhookID, handoff HandoffNumber, ttl api.Micros, offer Offer,
+	id WebhookID, handoff HandoffNumber, deadline api.Micros, offer Offer,
 ) bool {
-	r := t.recordOf(id, ttl)
+	r := t.recordOf(id, deadline)
 	if r.Handoff >= handoff {
 		return false
 	}
@@ -58,7 +58,7 @@
 	case reply == CustodyTaken:
 		r.Present, r.Offer = false, Offer{}
 		return DropCopy
-	case reply == CustodyNever,
+	case reply == CustodyNeverTaken,
 		reply == CustodyRejected && !r.Offer.Uncertain: // if uncertain, an earlier attempt may still arrive and be taken
 		r.Offer = Offer{}
 		return KeepCopy
--- a/cluster/shardmap/custody_table.go
+++ b/cluster/shardmap/custody_table.go
@@ -11,12 +11,12 @@
 //
 // The protocol is a custody transfer with an in-doubt state, as in two-phase commit. A webhook is in the custody of
 // one member. This custodian offers it to another member, and makes no call for it until it knows which of the two
-// has it. The answer CustodyTaken ends the custodian's right to call; the answer CustodyNever binds the member that
-// gives it. So no two members have custody at once, whatever messages are lost, late or duplicated. A member that
-// takes an offered webhook has custody as soon as its own record says so.
+// has it. The answer CustodyTaken ends the custodian's right to call; the answer CustodyNeverTaken binds the member
+// that gives it. So no two members have custody at once, whatever messages are lost, late or duplicated. A member
+// that takes an offered webhook has custody as soon as its own record says so.
 //
 // The methods change the table in memory. Before the caller sends a message that depends on a record, it journals the
-// record; see Lookup.
+// record; see Lookup. A deadline is the time at which a webhook expires.
 type CustodyTable struct {
 	records  map[WebhookID]*CustodyRecord
 	expiries timerqueue.Queue[WebhookID]
@@ -40,18 +40,18 @@
 				r.Handoff = max(r.Handoff, 1) - 1 // the hand-off with this number did not take place
 			}
 		}
-		*t.recordOf(r.ID, r.TTL) = r
+		*t.recordOf(r.ID, r.Deadline) = r
 	}
 	return t
 }
 
 // recordOf returns the record of a webhook, and creates it if there is none.
-func (t *CustodyTable) recordOf(id WebhookID, ttl api.Micros) *CustodyRecord {
+func (t *CustodyTable) recordOf(id WebhookID, deadline api.Micros) *CustodyRecord {
 	r := t.records[id]
 	if r == nil {
-		r = &CustodyRecord{ID: id, TTL: ttl}
+		r = &CustodyRecord{ID: id, Deadline: deadline}
 		t.records[id] = r
-		t.expiries.Add(int64(ttl), id)
+		t.expiries.Add(int64(deadline), id)
 	}
 	return r
 }
@@ -82,8 +82,8 @@
 // Expire removes the records of webhooks that expired more than slack ago. slack allows for differences between
 // clocks and for late messages.
 func (t *CustodyTable) Expire(now, slack api.Micros) {
-	deadline := int64(now - slack)
-	for id, ok := t.expiries.PopDue(deadline); ok; id, ok = t.expiries.PopDue(deadline) {
+	cutoff := int64(now - slack)
+	for id, ok := t.expiries.PopDue(cutoff); ok; id, ok = t.expiries.PopDue(cutoff) {
 		delete(t.records, id)
 	}
 }
--- a/cluster/shardmap/custody_table_test.go
+++ b/cluster/shardmap/custody_table_test.go
@@ -23,7 +23,7 @@
 		here.Fork(id)
 		for range rapid.IntRange(0, 50).Draw(t, "handoffs") {
 			number, _ = there.BeginOffer(id, ttl, Offer{To: "c"})
-			there.HandleReply(id, number, CustodyNever)
+			there.HandleReply(id, number, CustodyNeverTaken)
 		}
 		assert.Greater(t, here.NextHandoff(id), there.NextHandoff(id))
 		reply, outcome := here.HandleOffer(id, number, ttl, 0, true)
@@ -60,7 +60,7 @@
 	after, _ := table.Lookup(id)
 	assert.Equal(t, before, after)
 	reply, _ := table.HandleOffer(id, 3, ttl, 0, true)
-	assert.Equal(t, CustodyNever, reply, "a rejection is binding")
+	assert.Equal(t, CustodyNeverTaken, reply, "a rejection is binding")
 }
 
 func TestCustodyTable_ExpireKeepsRecordsForSlack(t *testing.T) {
@@ -72,17 +72,17 @@
 	table.Expire(13, 3)
 	assert.Equal(t, 1, table.Len())
 	reply, _ := table.HandleOffer(webhookID(0), 1, 10, 13, true)
-	assert.Equal(t, CustodyNever, reply, "it has expired")
+	assert.Equal(t, CustodyNeverTaken, reply, "it has expired")
 }
 
 func TestNewCustodyTable_RecoversDoubtOfOutstandingWebhooks(t *testing.T) {
-	offered := CustodyRecord{ID: webhookID(0), Handoff: 2, Present: true, TTL: ttl, Offer: Offer{To: "b", Move: 7}}
+	offered := CustodyRecord{ID: webhookID(0), Handoff: 2, Present: true, Deadline: ttl, Offer: Offer{To: "b", Move: 7}}
 	table := NewCustodyTable([]CustodyRecord{offered}, func(WebhookID) bool { return true })
 	offer, _, _ := table.OutstandingOffer(offered.ID)
 	assert.True(t, offer.Uncertain)
 	assert.Equal(t, 1, table.CountOffersOfMove(7))
 	assert.Equal(t, StayInDoubt, table.HandleReply(offered.ID, 2, CustodyRejected))
-	assert.Equal(t, KeepCopy, table.HandleReply(offered.ID, 2, CustodyNever))
+	assert.Equal(t, KeepCopy, table.HandleReply(offered.ID, 2, CustodyNeverTaken))
 	table = NewCustodyTable([]CustodyRecord{offered}, nothingOutstanding)
 	_, _, inDoubt := table.OutstandingOffer(offered.ID)
 	assert.False(t, inDoubt)
@@ -92,7 +92,7 @@
 // decoded again.
 func FuzzCustodyEncoding(f *testing.F) {
 	for _, v := range []any{
-		TransferredWebhook{ID: webhookID(0), TTL: 5, FirstRunAt: api.Never, JournalEntry: []byte("x")},
+		TransferredWebhook{ID: webhookID(0), Deadline: 5, FirstRunAt: api.Never, JournalEntry: []byte("x")},
 		CustodyRecord{ID: webhookID(1), Handoff: 7, Present: true, Offer: Offer{To: "b", Move: 3, Uncertain: true}},
 	} {
 		raw, err := cbor.Marshal(v)
@@ -103,7 +103,7 @@
 		requireStableEncoding[TransferredWebhook](t, raw)
 		if record, ok := requireStableEncoding[CustodyRecord](t, raw); ok {
 			table := NewCustodyTable([]CustodyRecord{record}, nothingOutstanding)
-			table.HandleOffer(record.ID, record.Handoff, record.TTL, 0, true)
+			table.HandleOffer(record.ID, record.Handoff, record.Deadline, 0, true)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 	assert.Equal(t, OfferNotTaken, outcome)
 	assert.Zero(t, table.Len())
 	reply, mustJournal := table.HandleQuery(id, 5, ttl)
-	assert.Equal(t, CustodyNever, reply)
+	assert.Equal(t, CustodyNeverTaken, reply)
 	assert.True(t, mustJournal)
 	assert.Equal(t, HandoffNumber(6), table.NextHandoff(id))
 	_, outcome = table.HandleOffer(id, 6, ttl, 0, true)
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -7,11 +7,11 @@
 
 // The answers. The numbers are encoded.
 const (
-	CustodyUnknown   CustodyReply = iota // the member can't be reached, or can't tell yet
-	CustodyTaken                         // it has taken the webhook: it is in custody there, has ended or was handed off
-	CustodyNever                         // it has not taken the webhook, and is bound never to take it by this hand-off
-	CustodyStateLost                     // its data folder was replaced since the offer, so it can't tell
-	CustodyRejected                      // it has not taken the webhook by this attempt, but may by another one
+	CustodyUnknown    CustodyReply = iota // the member can't be reached, or can't tell yet
+	CustodyTaken                          // it has taken the webhook: it is in custody there, has ended or was handed off
+	CustodyNeverTaken                     // it has not taken the webhook, and is bound never to take it by this hand-off
+	CustodyStateLost                      // its data folder was replaced since the offer, so it can't tell
+	CustodyRejected                       // it has not taken the webhook by this attempt, but may by another one
 )
 
 // OfferOutcome is what a member does with a webhook that it was offered.
@@ -31,7 +31,7 @@
 // HandleOffer decides about a webhook that another member offers. admitted states whether, by the map, this member
 // may take the webhook. The reply is CustodyUnknown while an earlier offer of the same webhook is being stored.
 func (t *CustodyTable) HandleOffer(
-	id WebhookID, handoff HandoffNumber, ttl, now api.Micros, admitted bool,
+	id WebhookID, handoff HandoffNumber, deadline, now api.Micros, admitted bool,
 ) (CustodyReply, OfferOutcome) {
 	r := t.records[id]
 	isKnown := r != nil
@@ -45,15 +45,15 @@
 	case isKnown && r.Present && !r.hasOffer():
 		r.Handoff = handoff // from another branch of a fork: one custodian is enough
 		return CustodyTaken, OfferNotTaken
-	case isKnown && handoff <= r.RejectedUpTo || now >= ttl:
-		return CustodyNever, OfferNotTaken
+	case isKnown && handoff <= r.RejectedUpTo || now >= deadline:
+		return CustodyNeverTaken, OfferNotTaken
 	case !admitted:
 		return CustodyRejected, OfferNotTaken
 	case isKnown && r.Present:
 		r.Handoff, r.Offer = handoff, Offer{}
 		return CustodyTaken, OfferReturnsCopy
 	}
-	r = t.recordOf(id, ttl)
+	r = t.recordOf(id, deadline)
 	r.Handoff, r.Present, r.Arriving = handoff, true, true
 	return CustodyTaken, OfferTaken
 }
@@ -75,12 +75,12 @@
 }
 
 // HandleQuery answers whether a webhook was taken by a hand-off. If mustJournal is true, the record has changed and
-// must be journalled before the answer is sent: after CustodyNever, an offer that is still in flight must be
+// must be journalled before the answer is sent: after CustodyNeverTaken, an offer that is still in flight must be
 // rejected; after CustodyTaken, hand-offs must continue from this number.
 func (t *CustodyTable) HandleQuery(
-	id WebhookID, handoff HandoffNumber, ttl api.Micros,
+	id WebhookID, handoff HandoffNumber, deadline api.Micros,
 ) (reply CustodyReply, mustJournal bool) {
-	r := t.recordOf(id, ttl)
+	r := t.recordOf(id, deadline)
 	switch {
 	case r.Arriving:
 		return CustodyUnknown, false
@@ -93,5 +93,5 @@
 	// The answer is the same in doubt: the querying member may be the custodian.
 	mustJournal = handoff > r.RejectedUpTo
 	r.RejectedUpTo = max(r.RejectedUpTo, handoff)
-	return CustodyNever, mustJournal
+	return CustodyNeverTaken, mustJournal
 }
--- a/cluster/shardmap/model_actions_test.go
+++ b/cluster/shardmap/model_actions_test.go
@@ -263,7 +263,7 @@
 }
 
 func (md *model) transferred(i, n int8) TransferredWebhook {
-	return TransferredWebhook{ID: webhookID(n), TTL: ttl, FirstRunAt: api.Micros(md.processes[i].copies[n].firstRunAt)}
+	return TransferredWebhook{ID: webhookID(n), Deadline: ttl, FirstRunAt: api.Micros(md.processes[i].copies[n].firstRunAt)}
 }
 
 // sendOffer offers a webhook to another member. A webhook that a client is submitting has no record yet.
--- a/cluster/shardmap/model_test.go
+++ b/cluster/shardmap/model_test.go
@@ -63,7 +63,7 @@
 		RejectedUpTo: e.rejectedUpTo,
 		Present:      e.present,
 		Arriving:     e.arriving,
-		TTL:          ttl,
+		Deadline:     ttl,
 	}
 	if e.to > 0 {
 		r.Offer = Offer{
--- a/cluster/shardmap/resolution.go
+++ b/cluster/shardmap/resolution.go
@@ -36,7 +36,7 @@
 	switch {
 	case reply == CustodyTaken:
 		return DropCopy
-	case reply == CustodyNever:
+	case reply == CustodyNeverTaken:
 		return KeepCopy
 	case now >= lastAttemptAt, reply == CustodyStateLost && mayNotRepeat:
 		return DeadLetterCopy
--- a/cluster/shardmap/resolution_test.go
+++ b/cluster/shardmap/resolution_test.go
@@ -22,7 +22,7 @@
 		want  Resolution
 	}{
 		"taken":                            {once, CustodyTaken, false, 300, DropCopy},
-		"never":                            {once, CustodyNever, false, 300, KeepCopy},
+		"never":                            {once, CustodyNeverTaken, false, 300, KeepCopy},
 		"unknown":                          {idem, CustodyUnknown, false, 110, StayInDoubt},
 		"unknown, right ended":             {idem, CustodyUnknown, true, 110, ForkCopy},
 		"unknown, at most once":            {once, CustodyUnknown, true, 110, StayInDoubt},
--- a/cluster/shardmap/transfer.go
+++ b/cluster/shardmap/transfer.go
@@ -25,7 +25,7 @@
 	Tenant       api.TenantID      `cbor:"4,keyasint"`
 	Key          api.OrderingKey   `cbor:"5,keyasint"`
 	Destination  api.DestinationID `cbor:"6,keyasint"`
-	TTL          api.Micros        `cbor:"7,keyasint"` // when it expires
+	Deadline     api.Micros        `cbor:"7,keyasint"` // when it expires
 	Attempts     int               `cbor:"8,keyasint"`
 	FirstRunAt   api.Micros        `cbor:"9,keyasint"`  // of the first attempt that may have run, or api.Never
 	Zone         api.ZoneID        `cbor:"10,keyasint"` // of that attempt's endpoint
@@ -35,7 +35,7 @@
 
 // WithClockShift returns the webhook with its times converted to a clock that is ahead by offset.
 func (w TransferredWebhook) WithClockShift(offset api.Micros) TransferredWebhook {
-	w.TTL += offset
+	w.Deadline += offset
 	if w.FirstRunAt != api.Never {
 		w.FirstRunAt += offset
 	}
@@ -58,7 +58,7 @@
 	eventType api.EventType, minLatency api.Micros, maxAttempts int, now api.Micros,
 ) TransferDecision {
 	mayHaveRun := w.FirstRunAt != api.Never
-	tooLate := now+minLatency >= w.TTL || w.Attempts >= maxAttempts
+	tooLate := now+minLatency >= w.Deadline || w.Attempts >= maxAttempts
 	if mayHaveRun && eventType.Semantics == api.Deduplicated {
 		tooLate = tooLate || now+minLatency >= w.FirstRunAt+eventType.DedupWindow
 	}
--- a/cluster/shardmap/transfer_test.go
+++ b/cluster/shardmap/transfer_test.go
@@ -13,14 +13,14 @@
 
 func TestTransferredWebhook_ClockShiftAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := TransferredWebhook{TTL: drawMicros(t, "ttl"), FirstRunAt: 5}
+		c := TransferredWebhook{Deadline: drawMicros(t, "ttl"), FirstRunAt: 5}
 		if rapid.Bool().Draw(t, "never ran") {
 			c.FirstRunAt = api.Never
 		}
 		by := drawMicros(t, "by")
 		assert.Equal(t, c, c.WithClockShift(by).WithClockShift(-by))
 		assert.Equal(t, c.FirstRunAt == api.Never, c.WithClockShift(by).FirstRunAt == api.Never)
-		assert.Equal(t, by, c.WithClockShift(by).TTL-c.TTL)
+		assert.Equal(t, by, c.WithClockShift(by).Deadline-c.Deadline)
 
 		var all []TransferredWebhook
 		for i, at := range rapid.SliceOf(rapid.Uint64Range(0, 9)).Draw(t, "taken") {
@@ -36,7 +36,7 @@
 func TestTransferredWebhook_DecideTransferFollowsDeliverySemantics(t *testing.T) {
 	atMostOnce, deduplicated := api.EventType{Semantics: api.AtMostOnce}, api.EventType{Semantics: api.Deduplicated,
 		DedupWindow: 10}
-	c := TransferredWebhook{TTL: 100, FirstRunAt: api.Never}
+	c := TransferredWebhook{Deadline: 100, FirstRunAt: api.Never}
 	ran := c
 	ran.FirstRunAt = 20
 	assert.Equal(t, TransferWebhook, c.DecideTransfer(atMostOnce, 5, 3, 20))
@@ -46,5 +46,5 @@
 	assert.Equal(t, DeadLetterWebhook, ran.DecideTransfer(deduplicated, 5, 3, 25), "its window is over by then")
 	ran.Attempts = 3
 	assert.Equal(t, DeadLetterWebhook, ran.DecideTransfer(deduplicated, 5, 3, 21))
-	assert.Equal(t, TransferWebhook, TransferredWebhook{TTL: 100, FirstRunAt: 1}.DecideTransfer(api.EventType{}, 5, 3, 50))
+	assert.Equal(t, TransferWebhook, TransferredWebhook{Deadline: 100, FirstRunAt: 1}.DecideTransfer(api.EventType{}, 5, 3, 50))
 }
--- a/sim/engine/custody.go
+++ b/sim/engine/custody.go
@@ -151,7 +151,7 @@
 	}
 	record.deniedUpTo = max(record.deniedUpTo, h.sequence)
 	d.member.handoffRecords[h.webhook.id] = record
-	return shardmap.CustodyNever
+	return shardmap.CustodyNeverTaken
 }
 
 func (c *clusterState) handleCustodyReply(n int32, reply shardmap.CustodyReply) {
--- a/sim/engine/handoff_receiver.go
+++ b/sim/engine/handoff_receiver.go
@@ -128,7 +128,7 @@
 	if h.orphaned {
 		c.sim.closeCopy(h.webhook.request)
 	}
-	c.replyToHandoff(n, shardmap.CustodyNever)
+	c.replyToHandoff(n, shardmap.CustodyNeverTaken)
 }
 
 func (c *clusterState) replyToHandoff(n int32, reply shardmap.CustodyReply) {
