--- a/cluster/lease/model_search_test.go
+++ b/cluster/lease/model_search_test.go
@@ -23,7 +23,7 @@
 	transition int
 }
 
-// trace lists the transitions that lead from a start to the state.
+// trace lists the transitions that lead from one of the starts to this state.
 func (n *searchNode) trace(starts []*model) string {
 	var path []int
 	for ; n != nil; n = n.parent {
--- a/cluster/lease/simulation_member_test.go
+++ b/cluster/lease/simulation_member_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// reply sends a message to the member.
 func (sm *simulatedMember) reply(incarnation Incarnation, f func()) {
 	sm.send(func() { sm.deliver(incarnation, f) })
 }
--- a/cluster/shardmap/apply.go
+++ b/cluster/shardmap/apply.go
@@ -23,7 +23,8 @@
 	return codec.Marshal(result)
 }
 
-func (m *Map) apply(now cluster.Version, c command) (result any, err error) {
+// apply applies a decoded command. version is that of the map after the command.
+func (m *Map) apply(version cluster.Version, c command) (result any, err error) {
 	switch c.Op {
 	case opInitialize:
 		return nil, m.initialize(c)
@@ -32,7 +33,7 @@
 	case opClearMove:
 		return nil, m.clearMove(c)
 	case opPlace:
-		return nil, m.applyPlacement(now, c.Groups)
+		return nil, m.applyPlacement(version, c.Groups)
 	case opConfirmPlacement:
 		return nil, m.removeMisplaced(func(d MisplacedDestination) bool {
 			return d.Grant.Range == c.Range && d.Grant.Epoch == c.Epoch && d.Grant.Since <= c.MapVersion
@@ -40,7 +41,7 @@
 	case opSweepMisplaced:
 		return nil, m.removeMisplaced(func(d MisplacedDestination) bool { return !m.isHeld(d.Grant) })
 	case opSplit, opMerge, opPlanMove, opConfirmOwner:
-		return m.applyToRange(now, c)
+		return m.applyToRange(version, c)
 	case opAdvanceMove, opRevertMove, opSwitchOwner:
 		return nil, m.applyToMove(c)
 	}
@@ -48,18 +49,18 @@
 }
 
 // applyToRange applies a command that concerns the range c.Range.
-func (m *Map) applyToRange(now cluster.Version, c command) (result any, err error) {
+func (m *Map) applyToRange(version cluster.Version, c command) (result any, err error) {
 	i := m.indexOf(c.Range)
 	if i < 0 {
 		return nil, cluster.ErrNotFound
 	}
 	switch c.Op {
 	case opSplit:
-		return m.split(now, i, c.Key)
+		return m.split(version, i, c.Key)
 	case opMerge:
-		return nil, m.merge(now, i, c.Other)
+		return nil, m.merge(version, i, c.Other)
 	case opPlanMove:
-		return MoveID(now), m.planMove(MoveID(now), &m.Ranges[i], c)
+		return MoveID(version), m.planMove(MoveID(version), &m.Ranges[i], c)
 	}
 	return nil, m.confirmOwner(&m.Ranges[i], c)
 }
--- a/cluster/shardmap/apply_ranges.go
+++ b/cluster/shardmap/apply_ranges.go
@@ -71,7 +71,7 @@
 // split divides the range at index i. The lower part keeps the current lease. The upper part becomes a range with a
 // lease of its own. Until its owner has confirmed that lease, the owner may still serve the upper part under the old
 // lease by an older map; the added prior grant records this.
-func (m *Map) split(now cluster.Version, i int, key cluster.KeyHash) (cluster.RangeID, error) {
+func (m *Map) split(version cluster.Version, i int, key cluster.KeyHash) (cluster.RangeID, error) {
 	r := m.Ranges[i]
 	if !r.IsStable() || len(m.Ranges) >= maxRanges {
 		return 0, cluster.ErrStale
@@ -85,7 +85,7 @@
 		To:          r.To,
 		Owner:       r.Owner,
 		SplitOff:    true,
-		PriorGrants: append(slices.Clone(r.PriorGrants), PriorGrant{Range: r.ID, Epoch: r.Epoch, Since: now}),
+		PriorGrants: append(slices.Clone(r.PriorGrants), PriorGrant{Range: r.ID, Epoch: r.Epoch, Since: version}),
 	}
 	m.NextID++
 	m.Ranges[i].To = key - 1
@@ -95,13 +95,13 @@
 
 // merge extends the range at index i by an adjacent range. The grant under which the adjacent one was served stays
 // recorded as a prior grant.
-func (m *Map) merge(now cluster.Version, i int, otherID cluster.RangeID) error {
-	k := m.indexOf(otherID)
-	if k < 0 {
+func (m *Map) merge(version cluster.Version, i int, otherID cluster.RangeID) error {
+	otherIndex := m.indexOf(otherID)
+	if otherIndex < 0 {
 		return cluster.ErrNotFound
 	}
-	r, other := &m.Ranges[i], &m.Ranges[k]
-	isAdjacent := i-k == 1 || k-i == 1
+	r, other := &m.Ranges[i], &m.Ranges[otherIndex]
+	isAdjacent := i-otherIndex == 1 || otherIndex-i == 1
 	if !isAdjacent || r.Owner != other.Owner || !r.IsStable() || !other.IsStable() {
 		return cluster.ErrStale
 	}
@@ -110,10 +110,10 @@
 	}
 	r.From, r.To = min(r.From, other.From), max(r.To, other.To)
 	grants := append(slices.Clone(r.PriorGrants), other.PriorGrants...)
-	grants = append(grants, PriorGrant{Range: other.ID, Epoch: other.Epoch, Since: now})
+	grants = append(grants, PriorGrant{Range: other.ID, Epoch: other.Epoch, Since: version})
 	r.PriorGrants = slices.DeleteFunc(grants, func(g PriorGrant) bool {
 		return g.Range == r.ID || !m.isHeld(g)
 	})
-	m.Ranges = slices.Delete(m.Ranges, k, k+1)
+	m.Ranges = slices.Delete(m.Ranges, otherIndex, otherIndex+1)
 	return nil
 }
--- a/cluster/shardmap/placement.go
+++ b/cluster/shardmap/placement.go
@@ -68,7 +68,7 @@
 // applyPlacement changes the placement. Each destination that thereby changes to another range is recorded as
 // misplaced, once for each grant under which it may still be served in the previous range. Until the holder of the
 // grant confirms the new map, no other member serves the destination.
-func (m *Map) applyPlacement(now cluster.Version, groups []PlacementGroup) error {
+func (m *Map) applyPlacement(version cluster.Version, groups []PlacementGroup) error {
 	if !groupsAreValid(groups) {
 		return cluster.ErrNotFound
 	}
@@ -80,7 +80,7 @@
 	m.Misplaced = slices.Clone(m.Misplaced)
 	for _, keys := range []map[api.DestinationID]cluster.KeyHash{previous.keys, m.keys} {
 		for destination := range keys {
-			m.recordMisplaced(now, &previous, destination)
+			m.recordMisplaced(version, &previous, destination)
 		}
 	}
 	slices.SortFunc(m.Misplaced, func(a, b MisplacedDestination) int {
@@ -92,7 +92,7 @@
 
 // recordMisplaced appends an entry to Misplaced for each grant that is held and under which the destination was
 // served in another range of the previous map.
-func (m *Map) recordMisplaced(now cluster.Version, previous *Map, destination api.DestinationID) {
+func (m *Map) recordMisplaced(version cluster.Version, previous *Map, destination api.DestinationID) {
 	from, wasMapped := previous.RangeOf(previous.KeyOf(destination))
 	to, _ := m.RangeOf(m.KeyOf(destination))
 	if !wasMapped || to.ID == from.ID {
@@ -100,7 +100,7 @@
 	}
 	grants := append([]PriorGrant{{Range: from.ID, Epoch: from.Epoch}}, from.PriorGrants...)
 	for _, grant := range grants {
-		grant.Since = now
+		grant.Since = version
 		if m.isHeld(grant) {
 			m.Misplaced = append(m.Misplaced, MisplacedDestination{Destination: destination, Grant: grant})
 		}
