--- a/cluster/lease/model_mutations_test.go
+++ b/cluster/lease/model_mutations_test.go
@@ -17,7 +17,7 @@
 	lateAction = "a late action was admitted after one of a later epoch"
 )
 
-// mutatedModel is a model with one fault, which is in the code around the objects of the package.
+// mutatedModel is a model with one fault, which is in the model itself and not in the objects of the package.
 type mutatedModel struct {
 	mutation mutation
 	budget   faultBudget
--- a/cluster/shardmap/model_actions_test.go
+++ b/cluster/shardmap/model_actions_test.go
@@ -9,8 +9,8 @@
 )
 
 // transition is one event that may happen next. target is the index of a member or of a message; apply is called with
-// target and webhook. Transitions that are faultFree also happen once there are no more faults; then the first one in
-// the list is taken.
+// target and webhook. faultFree marks the transitions that are not faults: once faults have stopped, only these
+// happen, and always the first one in the list.
 type transition struct {
 	name            string
 	target, webhook int8
@@ -103,7 +103,7 @@
 }
 
 // callIsPending reports whether a member is about to call. In the model no time passes between the last check and the
-// call; docs/cluster.md discusses the gap in reality.
+// call. docs/cluster.md discusses the gap that there is in reality.
 func (md *model) callIsPending() bool {
 	return slices.ContainsFunc(md.processes[:], func(p processState) bool { return slices.Contains(p.steps[:], stepCall) })
 }
--- a/cluster/shardmap/model_member_test.go
+++ b/cluster/shardmap/model_member_test.go
@@ -165,7 +165,8 @@
 	md.runSteps(i)
 }
 
-// replyWhileArriving answers a message about a webhook whose record is written, but which is not stored itself yet.
+// replyWhileArriving answers a message about a webhook whose record has been written, but which has not been stored
+// itself.
 func (md *model) replyWhileArriving(r message) {
 	r.firstRunAt, r.move = -1, 0
 	if md.mutation.takenWhileArriving && r.reply == CustodyUnknown {
--- a/cluster/shardmap/model_mutants_test.go
+++ b/cluster/shardmap/model_mutants_test.go
@@ -74,8 +74,8 @@
 	return append(slices.Clone(past), next...)
 }
 
-// Each model has one mutation, in the code around the code under test. The search must find a violation, and none
-// without the mutation.
+// Each model has one mutation, in the model itself and not in the code under test. The search must find a violation,
+// and none without the mutation.
 func TestModelSearch_FindsMutations(t *testing.T) {
 	const two, lost, inFlight = "two members have custody of a webhook", "a webhook is lost",
 		"a call is in flight at the source when the target is the owner"
--- a/cluster/shardmap/model_search_test.go
+++ b/cluster/shardmap/model_search_test.go
@@ -101,8 +101,8 @@
 	return f
 }
 
-// quiesce continues without faults. It returns the violation that it finds, also if a webhook is still not resolved
-// at the end. It appends the transitions to trace, if that is not nil.
+// quiesce continues without faults. It returns a violation that it finds, or that a webhook is not resolved at the
+// end. It appends the transitions to trace, if that is not nil.
 func (md model) quiesce(trace *string) (violation string) {
 	md.budget.grants, md.budget.clients = 100, 0 // clients submit no more webhooks
 	var enabled []transition
