--- a/serving/operator/amendment.go
+++ b/serving/operator/amendment.go
@@ -13,7 +13,7 @@
 type Amendment struct {
 	baseVersion uint64
 	digest      state.Digest // of the base version and the body; identifies the request when it is retried
-	amendment   *routing.Amendment
+	content     *routing.Amendment
 }
 
 // readAmendment reads and validates an amendment.
@@ -31,18 +31,18 @@
 	return Amendment{
 		baseVersion: request.baseVersion,
 		digest:      state.DigestOf(identity),
-		amendment:   amendment,
+		content:     amendment,
 	}, nil
 }
 
-// Apply returns the current configuration with the amendment applied. Errors are those of routing.Parse and
+// Apply returns the current configuration with the amendment applied. Its errors include those of routing.Parse and
 // errcode.AmendedConfigurationTooLarge.
 func (a *Amendment) Apply(current state.Configuration) (state.Configuration, error) {
 	document, err := documentOf(current)
 	if err != nil {
 		return state.Configuration{}, err
 	}
-	amended := a.amendment.Apply(document)
+	amended := a.content.Apply(document)
 	if len(amended) > maxDocumentBytes {
 		return state.Configuration{}, errcode.AmendedConfigurationTooLarge.With("%d bytes", len(amended))
 	}
--- a/serving/operator/client/client.go
+++ b/serving/operator/client/client.go
@@ -1,5 +1,6 @@
-// Package client is a client of the operators' API of the core members: it reads and changes the configuration and
-// evacuates zones. It sends a call to the members in turn until one gives a final response.
+// Package client is a client of the operators' API of the core members: it reads and changes the configuration,
+// evacuates zones and rolls out software versions. It sends a call to the members in turn until one gives a final
+// response.
 package client
 
 import (
@@ -19,7 +20,7 @@
 )
 
 const (
-	// callTimeout bounds one attempt; a core responds within half of it.
+	// callTimeout bounds one attempt; a core member responds within half of it.
 	callTimeout = 5 * time.Second
 	// minBackoff and maxBackoff bound the exponential backoff between two rounds over the addresses.
 	minBackoff = 100 * time.Millisecond
@@ -31,10 +32,11 @@
 // ErrNoAddress is returned by a Client without addresses.
 var ErrNoAddress = errors.New("no control address")
 
-// ErrInDoubt is returned for a change without a final response: it may or may not be in force.
+// ErrInDoubt is returned for a call that got no final response before its context ended. A change may or may not be in
+// force then.
 var ErrInDoubt = errors.New("no clear answer in time")
 
-// inDoubtError is ErrInDoubt with the errors of the last round.
+// inDoubtError is ErrInDoubt with the errors of the last round over the addresses.
 type inDoubtError struct{ last error }
 
 // Error implements error.
@@ -43,7 +45,7 @@
 // Is reports that the error is ErrInDoubt.
 func (e *inDoubtError) Is(target error) bool { return target == ErrInDoubt }
 
-// Unwrap returns the errors of the last round.
+// Unwrap returns the errors of the last round over the addresses.
 func (e *inDoubtError) Unwrap() error { return e.last }
 
 // Client calls the operators' API. Its methods retry until their context ends; sending a change twice is harmless.
@@ -52,10 +54,10 @@
 	Addresses []string // host:port of core members
 }
 
-// RejectedError is the final response of a member that rejects a call.
+// RejectedError is returned for a call that a member rejected with a final response.
 type RejectedError struct {
 	Address string // of the member
-	Status  int    // of HTTP
+	Status  int    // HTTP status
 	Text    string // the member's error text, with the number of its errcode.Kind
 }
 
@@ -69,7 +71,8 @@
 	return c.send(ctx, call{method: http.MethodGet, path: readPath})
 }
 
-// ReplaceConfiguration replaces the configuration of version baseVersion by a document; 0 if there is none yet.
+// ReplaceConfiguration replaces the configuration of version baseVersion by a document. The base version is 0 if there
+// is no configuration yet.
 func (c *Client) ReplaceConfiguration(ctx context.Context, baseVersion uint64, document []byte) error {
 	return c.changeConfiguration(ctx, replacePath, baseVersion, document)
 }
@@ -103,7 +106,8 @@
 	return err
 }
 
-// BeginRollout orders that the traffic of a service be moved to a software version within a time.
+// BeginRollout orders a roll-out: within the duration, the traffic of a service is moved to the target, a software
+// version.
 func (c *Client) BeginRollout(ctx context.Context, service, target string, duration time.Duration) error {
 	order := rolloutOrder{Service: service, Target: target, Seconds: duration.Seconds()}
 	body, err := json.Marshal(order)
@@ -155,7 +159,8 @@
 	}
 }
 
-// attempt sends a call to one address. isFinal reports that the outcome is final, whether body or err.
+// attempt sends a call to one address. If isFinal is true, body or err is the outcome of the call; otherwise the call
+// is sent to the next address.
 func attempt(ctx context.Context, address string, request call) (body []byte, isFinal bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -171,7 +176,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	defer func() { _ = response.Body.Close() }() // only read from
+	defer func() { _ = response.Body.Close() }() // nothing was written, so no error can lose data
 	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, false, errors.Wrapf(err, "answer of %s", address)
--- a/serving/operator/client/rollout.go
+++ b/serving/operator/client/rollout.go
@@ -1,6 +1,6 @@
 package client
 
-// rolloutOrder is the body of the order of a roll-out.
+// rolloutOrder is the request body of a roll-out order.
 type rolloutOrder struct {
 	Service string  `json:"carrier"`
 	Target  string  `json:"target"`
@@ -13,21 +13,21 @@
 	Target  string         `json:"target"`
 	Step    string         `json:"step,omitempty"` // canary, load, ramp or full, while it is in progress
 	Verdict RolloutVerdict `json:"verdict"`
-	Retired []string       `json:"retired,omitempty"` // versions that get nothing any more
+	Retired []string       `json:"retired,omitempty"` // versions that get no more requests
 }
 
-// RolloutVerdict says what the newest decision on a roll-out rests on.
+// RolloutVerdict holds the counts that the newest decision on a roll-out is based on and, for a rollback, its reason.
 type RolloutVerdict struct {
-	Reason   string       `json:"reason,omitempty"` // of a return
-	Route    string       `json:"route,omitempty"`  // that showed it; empty: all together
-	Target   AnswerCounts `json:"target"`
-	Baseline AnswerCounts `json:"baseline"` // by the versions in force in the same time
+	Reason   string       `json:"reason,omitempty"` // why the roll-out is "returned"
+	Route    string       `json:"route,omitempty"`  // the route whose counts gave the reason; empty: all routes together
+	Target   AnswerCounts `json:"target"`           // from endpoints of the target
+	Baseline AnswerCounts `json:"baseline"`         // from endpoints of the versions in force, over the same period
 }
 
 // AnswerCounts counts answers of endpoints.
 type AnswerCounts struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed"`
-	Timed   int `json:"timed"`
-	Slow    int `json:"slow"` // of the timed ones
+	Timed   int `json:"timed"` // answers whose duration is compared with the expected one
+	Slow    int `json:"slow"`  // timed answers that took several times as long as expected
 }
--- a/serving/operator/client/wire.go
+++ b/serving/operator/client/wire.go
@@ -1,6 +1,6 @@
 package client
 
-// The operators' API.
+// Paths and headers of the operators' API.
 const (
 	replacePath         = "/Settings.Replace"
 	amendPath           = "/Settings.Amend"
--- a/serving/operator/configuration.go
+++ b/serving/operator/configuration.go
@@ -14,10 +14,10 @@
 	"rowanlink/serving/state"
 )
 
-// baseVersionHeader names the version that a change is based on.
+// baseVersionHeader is the HTTP header with the version of the configuration that a change is based on.
 const baseVersionHeader = "X-Based-On"
 
-// emptyConfiguration is the document before the first configuration.
+// emptyConfiguration is the document that reads return, and amendments apply to, until a configuration is committed.
 var emptyConfiguration = []byte(`{"edition":0,"routings":[],"carriers":[]}`)
 
 // ConfigurationResource handles reads and changes of the configuration.
@@ -33,8 +33,8 @@
 }
 
 // Replace replaces the configuration. It responds with 200 once a majority has stored it, 412 if another version is
-// current, 400 if it is invalid, 503 if the outcome is in doubt. The change continues when the caller disconnects: the
-// base version keeps the change from being committed too late.
+// current, 400 if it is invalid, 503 if the outcome is in doubt. The change continues if the caller disconnects. This
+// is safe: a change is committed only while its base version is current, so it can't overwrite a later change.
 func (c *ConfigurationResource) Replace(w http.ResponseWriter, r *http.Request) {
 	baseVersion, configuration, err := readConfiguration(w, r)
 	if err != nil {
@@ -46,20 +46,20 @@
 	})
 }
 
-// Amend changes named items of the configuration and responds as Replace does. The amendment is applied to the record
-// that the register holds at the commit.
+// Amend changes named items of the configuration and responds as Replace does. The amendment is applied to the
+// configuration that is in the register at the commit, provided that it has the amendment's base version.
 func (c *ConfigurationResource) Amend(w http.ResponseWriter, r *http.Request) {
 	amendment, err := readAmendment(w, r)
 	if err != nil {
 		c.reject(w, err)
 		return
 	}
-	c.applyChange(w, r, amendment.amendment.Version, func(ctx context.Context) error {
+	c.applyChange(w, r, amendment.content.Version, func(ctx context.Context) error {
 		return c.register.AmendConfiguration(ctx, amendment)
 	})
 }
 
-// Read responds with the newest configuration, byte for byte as it was sent, or 503 without a majority.
+// Read responds with the newest configuration, byte for byte as it was sent, or with 503 if no majority answers.
 func (c *ConfigurationResource) Read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
@@ -76,7 +76,7 @@
 	writeJSON(w, http.StatusOK, document)
 }
 
-// reject responds to a request that is invalid whatever the register holds.
+// reject responds to a request that is invalid in itself; the register isn't asked.
 func (c *ConfigurationResource) reject(w http.ResponseWriter, err error) {
 	event.ConfigurationRejected.Log(c.log).Err(err).Send()
 	writeError(w, err)
@@ -95,6 +95,7 @@
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
+// writeChangeError logs and responds with the error of a change.
 func (c *ConfigurationResource) writeChangeError(w http.ResponseWriter, err error, version uint64) {
 	kind := event.ConfigurationRejected
 	if errcode.ChangeInDoubt.Is(err) {
--- a/serving/operator/contracts_test.go
+++ b/serving/operator/contracts_test.go
@@ -17,8 +17,8 @@
 // contractRow matches a row of the table of calls in docs/contracts.md: method and path, program, file, test.
 var contractRow = regexp.MustCompile("(?m)^\\| `([A-Z]+) (/[^`]*)` \\| (\\w+) \\| `([^`]+)` \\| (\\w+) \\|$")
 
-// TestContracts_CallsAreServed guards against issue 78: a call that a page names and no handler serves. Each call of a
-// core member in docs/contracts.md reaches a handler, and the file and the test that a row names are there.
+// TestContracts_CallsAreServed guards against issue 78: the docs named a call that no handler served. Each call to a
+// core member in docs/contracts.md must reach a handler, and the file and the test that its row names must exist.
 func TestContracts_CallsAreServed(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/contracts.md"))
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	}
 }
 
-// testNames returns the names of the tests of the serving system.
+// testNames returns the names of all tests below serving/.
 func testNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/serving/operator/endpoint.go
+++ b/serving/operator/endpoint.go
@@ -14,7 +14,7 @@
 	"rowanlink/serving/state"
 )
 
-// EndpointResource handles the requests of endpoints.
+// EndpointResource handles the heartbeats and deregistrations of endpoints.
 type EndpointResource struct {
 	endpoints  Endpoints
 	replicator Replicator
@@ -28,9 +28,10 @@
 	ForwardTo string `json:"forward_to,omitempty"`
 }
 
-// Heartbeat handles a heartbeat. The heartbeat of a closing endpoint is acknowledged only once a majority of the voters
-// has its state on disk. All others are acknowledged while this member sees a majority of the voters live: a partitioned
-// member thus makes endpoints fail over to members that the dispatchers receive updates from.
+// Heartbeat handles a heartbeat. If it reports that the endpoint is closing, it is acknowledged only once a majority of
+// the voters has the endpoint's state on disk. Any other heartbeat is acknowledged only while this member sees a
+// majority of the voters live. A partitioned member thus makes its endpoints fail over to members whose updates reach
+// the proxies.
 func (e *EndpointResource) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
@@ -52,8 +53,8 @@
 		e.replicator.CheckSuccessor(endpoint.ID, heartbeat)
 	}
 	if heartbeat.Draining && endpoint.State == state.EndpointAccepting {
-		// The endpoint would count on having left.
-		writeError(w, errcode.NotReplicated.With("endpoint %s: a newer heartbeat says that it accepts requests", endpoint.ID))
+		// The closing was ignored. After an acknowledgement the endpoint would expect no more requests and still get some.
+		writeError(w, errcode.NotReplicated.With("endpoint %s: a newer heartbeat reports that it accepts requests", endpoint.ID))
 		return
 	}
 	if err := e.replicate(r.Context(), endpoint, change); err != nil {
@@ -63,8 +64,8 @@
 	e.acknowledge(w, endpoint)
 }
 
-// Deregister handles the deregistration of an endpoint, whether or not it has reported before that it is closing. The
-// body is ignored.
+// Deregister handles the deregistration of an endpoint. The endpoint needn't have reported before that it is closing.
+// The body is ignored.
 func (e *EndpointResource) Deregister(w http.ResponseWriter, r *http.Request) {
 	endpoint, change, ok := e.endpoints.Deregister(r.PathValue("id"))
 	if !ok {
@@ -81,10 +82,10 @@
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-// replicate sends a change to the other members. For an endpoint that accepts no new requests it returns once a
-// majority of the voters has the change on disk: each dispatcher that isn't partitioned receives it from one of them,
-// also after all of them have restarted, and a partitioned member acknowledges nothing. Errors are
-// errcode.NotReplicated.
+// replicate sends a change of an endpoint's state to the other members. If the endpoint accepts no new requests,
+// replicate returns only once a majority of the voters has the state on disk. Every proxy that isn't partitioned then
+// receives it from one of these voters, even if all of them restart first, and a partitioned member acknowledges
+// nothing. Errors are errcode.NotReplicated.
 func (e *EndpointResource) replicate(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
 		return e.gossip(endpoint, change)
@@ -110,7 +111,8 @@
 	return nil
 }
 
-// gossip sends a change of an accepting endpoint, if there is one, and fails if this member seems partitioned.
+// gossip sends the state of an accepting endpoint to the other members if it has changed. It fails with
+// errcode.NotReplicated if this member doesn't see a majority of the voters live, so that it may be partitioned.
 func (e *EndpointResource) gossip(endpoint state.Endpoint, change endpoints.Change) error {
 	if change.Broadcast {
 		e.replicator.Put(endpoint)
@@ -121,6 +123,7 @@
 	return nil
 }
 
+// acknowledge responds to a heartbeat with the address for the next ones.
 func (e *EndpointResource) acknowledge(w http.ResponseWriter, endpoint state.Endpoint) {
 	var response heartbeatResponse
 	if e.forwardTo != nil {
@@ -133,6 +136,7 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
+// logHeartbeat logs a heartbeat that registers an endpoint or begins its closing.
 func (e *EndpointResource) logHeartbeat(endpoint state.Endpoint, change endpoints.Change) {
 	switch {
 	case change.New:
--- a/serving/operator/endpoint_test.go
+++ b/serving/operator/endpoint_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// A partitioned member has no majority: it acknowledges no deregistration, and all endpoints fail over to other
-// members.
+// TestPartitionedMember_AcknowledgesNothing: a member that sees no majority of the voters live acknowledges neither
+// heartbeats nor deregistrations, so that all endpoints fail over to other members.
 func TestPartitionedMember_AcknowledgesNothing(t *testing.T) {
 	f := newFixture(t)
 	f.replicator.down["core-2"] = true
@@ -86,8 +86,9 @@
 	assert.Equal(t, 200, f.call("POST", "/Endpoints.Beat/other", heartbeatBody("accepting", 3)).Code)
 }
 
-// TestDeregistration_KnownFromAnotherMember guards against an acknowledgement of what came from one other member: that
-// may have answered 503, since a majority couldn't be reached.
+// TestDeregistration_KnownFromAnotherMember guards against acknowledging a deregistration only because another member
+// has gossiped it. That member may have responded with 503 since it couldn't reach a majority, so the deregistration
+// may be on too few disks.
 func TestDeregistration_KnownFromAnotherMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -102,14 +103,14 @@
 	})
 }
 
-// TestClosing_WithoutEffectIsNotAcknowledged guards against the acknowledgement of a closing that is ignored, since another
-// process under the endpoint's ID has counted further.
+// TestClosing_WithoutEffectIsNotAcknowledged guards against acknowledging a closing that is ignored, because another
+// process with the endpoint's ID has sent a heartbeat with a higher sequence number.
 func TestClosing_WithoutEffectIsNotAcknowledged(t *testing.T) {
 	f := newFixture(t)
 	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 500)).Code)
 	assert.Equal(t, 503, f.call("POST", heartbeatPath, heartbeatBody("closing", 2)).Code)
 	assert.Empty(t, f.replicator.replicated)
-	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code, "as before")
+	assert.Equal(t, 200, f.call("POST", heartbeatPath, heartbeatBody("accepting", 3)).Code, "it still accepts requests")
 }
 
 func TestClosing_FailsWhileVotersAreUnknown(t *testing.T) {
@@ -128,8 +129,9 @@
 	assert.Empty(t, f.replicator.put)
 }
 
-// TestHeartbeat_OfDepartedEndpointIsChecked guards against a successor that is told by the time since the departure: a
-// heartbeat may be late by more. The endpoint itself is asked, once at a time.
+// TestHeartbeat_OfDepartedEndpointIsChecked: a heartbeat under the ID of a departed endpoint may be a late one of the
+// old process or the first of a new one. The time since the departure doesn't tell which, as a heartbeat may be late by
+// more than any limit. The member therefore asks the endpoint itself, with at most one check at a time.
 func TestHeartbeat_OfDepartedEndpointIsChecked(t *testing.T) {
 	f := newFixture(t)
 	f.call("POST", heartbeatPath, heartbeatBody("accepting", 7))
--- a/serving/operator/evacuation.go
+++ b/serving/operator/evacuation.go
@@ -23,9 +23,9 @@
 // End ends the evacuation of a zone.
 func (e *EvacuationResource) End(w http.ResponseWriter, r *http.Request) { e.set(w, r, false) }
 
-// set responds with 200 once the change is committed, 404 for a zone that isn't in the settings, 503 if the outcome is
-// in doubt. The change is abandoned when the caller disconnects: completed later, the change might undo one that
-// followed it.
+// set starts or ends an evacuation. It responds with 200 once the change is committed, 404 for a zone that isn't in the
+// settings, 503 if the outcome is in doubt. The change is abandoned if the caller disconnects: unlike a configuration
+// it has no base version, so that a late commit might undo a change that the operator made afterwards.
 func (e *EvacuationResource) set(w http.ResponseWriter, r *http.Request, active bool) {
 	zone := r.PathValue("zone")
 	if _, isKnown := e.regions[zone]; !isKnown {
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -30,6 +30,7 @@
 	hangAt      map[int]bool
 }
 
+// enter counts a call and lets it fail or hang if that is planned for it.
 func (f *fakeRegister) enter(ctx context.Context) error {
 	f.calls++
 	if f.hangAt[f.calls] {
@@ -50,14 +51,14 @@
 	return nil
 }
 
-func (f *fakeRegister) AmendConfiguration(ctx context.Context, order Amendment) error {
+func (f *fakeRegister) AmendConfiguration(ctx context.Context, amendment Amendment) error {
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
 	if f.changeError != nil {
 		return f.changeError
 	}
-	amended, err := order.Apply(f.record.Configuration)
+	amended, err := amendment.Apply(f.record.Configuration)
 	if err == nil {
 		f.record.Configuration = amended
 	}
@@ -97,10 +98,10 @@
 type fakeReplicator struct {
 	put        []state.Endpoint
 	replicated []state.Endpoint
-	checked    []string       // successors
+	checked    []string       // ID and address of each successor check
 	targets    quorum.Targets // of the newest replication
 	failures   int
-	down       map[string]bool // by address
+	down       map[string]bool // members that aren't live, by address
 }
 
 func (f *fakeReplicator) Put(e state.Endpoint) { f.put = append(f.put, e) }
@@ -122,7 +123,7 @@
 
 func (f *fakeReplicator) isLive(address string) bool { return !f.down[address] }
 
-// fakeVoters is a set of voters.
+// fakeVoters holds the addresses of the voters.
 type fakeVoters []string
 
 func (f fakeVoters) Voters() (set state.ReplicaSet) {
--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// returnRetention is how long an endpoint that couldn't reach its redirect's target stays at this member.
+	// returnRetention is how long an endpoint that couldn't reach the member it was redirected to stays at this member,
+	// before it is redirected again.
 	returnRetention = 60 * time.Second
-	// returnWindow is how soon after a redirect another heartbeat at this member means that the endpoint couldn't reach
-	// the target.
+	// returnWindow is the time after a redirect within which another heartbeat at this member means that the endpoint
+	// couldn't reach the target of the redirect.
 	returnWindow = 10 * time.Second
 )
 
@@ -33,10 +34,11 @@
 type redirect struct {
 	target   string // control address
 	at       time.Time
-	returned bool // the endpoint has returned: it can't reach the target
+	returned bool // the endpoint came back to this member, so it can't reach the target
 }
 
-// ForwardTo returns the control address for an endpoint's next heartbeats.
+// ForwardTo returns the control address to which an endpoint should send its next heartbeats: that of the chosen
+// member, or this member's own if the endpoint can't reach the chosen one.
 func (f *Forwarder) ForwardTo(id, zone string) string {
 	chosen := chooseReceiver(f.Self, f.Members(), f.Regions, id, zone)
 	if chosen.Name == f.Self.Name || f.hasReturned(id, chosen.ControlAddress) {
@@ -45,8 +47,8 @@
 	return chosen.ControlAddress
 }
 
-// hasReturned reports whether an endpoint has returned from a redirect to the target, and records the redirect if it
-// is to be sent there now.
+// hasReturned reports whether an endpoint came back to this member after a redirect to the target, which it therefore
+// can't reach. If there was no such redirect, the caller sends one now, and hasReturned records it.
 func (f *Forwarder) hasReturned(id, target string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -64,7 +66,8 @@
 	return returned
 }
 
-// evictExpired removes redirects that no longer count.
+// evictExpired removes the redirects that are older than returnWindow, or returnRetention once the endpoint has
+// returned.
 func (f *Forwarder) evictExpired(now time.Time) {
 	for id, last := range f.redirects {
 		retention := returnWindow
@@ -77,9 +80,9 @@
 	}
 }
 
-// chooseReceiver returns the core member nearest to the zone; among equally near ones, by rendezvous hashing of the
-// endpoint's ID (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that all members
-// choose the same one and share the load.
+// chooseReceiver returns the ready core member nearest to the zone. Among equally near ones it chooses by rendezvous
+// hashing of the endpoint's ID (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), so
+// that all members choose the same one for an endpoint and share the load.
 func chooseReceiver(self state.Member, members []state.Member, regions map[string]string, id, zone string) state.Member {
 	best := self
 	bestProximity := proximity(self, regions, zone)
@@ -98,9 +101,9 @@
 	return best
 }
 
-// Proximity of a member to a zone.
+// Proximity of a member to a zone, from far to near.
 const (
-	elsewhere = iota
+	inOtherRegion = iota
 	inSameRegion
 	inSameZone
 )
@@ -112,7 +115,7 @@
 	case member.Region == regions[zone]:
 		return inSameRegion
 	default:
-		return elsewhere
+		return inOtherRegion
 	}
 }
 
@@ -126,7 +129,7 @@
 }
 
 // mixBits is the finalizer of SplitMix64 (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
-// 2014). The high bits of FNV-1a differ little between similar names.
+// 2014). It follows FNV-1a because the high bits of FNV-1a differ little between similar names.
 func mixBits(bits uint64) uint64 {
 	bits = (bits ^ bits>>30) * 0xbf58476d1ce4e5b9
 	bits = (bits ^ bits>>27) * 0x94d049bb133111eb
--- a/serving/operator/fuzz_test.go
+++ b/serving/operator/fuzz_test.go
@@ -15,23 +15,23 @@
 	Service         string          `json:"carrier"`
 	Address         string          `json:"address"`
 	Zone            string          `json:"zone"`
-	Edition         string          `json:"edition"`
+	SoftwareVersion string          `json:"edition"`
 	Slots           int             `json:"berths"`
 	State           string          `json:"state"`
-	ColdLeftMillis  float64         `json:"cold_left_ms"`
-	RemainingMillis float64         `json:"remaining_ms"`
+	WarmUpLeft      float64         `json:"cold_left_ms"` // in milliseconds
+	RemovalIn       float64         `json:"remaining_ms"` // in milliseconds
 	Sequence        uint64          `json:"call_seq"`
 	Models          []modelDocument `json:"models"`
 }
 
 type modelDocument struct {
 	Name     string   `json:"name"`
-	Edition  int      `json:"edition"`
+	Version  int      `json:"edition"`
 	Adapters []string `json:"adapters"`
 }
 
-// FuzzHeartbeat: no accepted heartbeat has a negative number or lacks a required field, and a parsed heartbeat survives
-// encoding and parsing.
+// FuzzHeartbeat: no accepted heartbeat has a negative number or lacks a required field, and a parsed heartbeat that is
+// encoded and parsed again has the same values.
 func FuzzHeartbeat(f *testing.F) {
 	f.Add([]byte(`{"carrier":"huvo11a","address":"10.128.0.9:8080","zone":"z","edition":"v1","berths":128,
 		"state":"accepting","cold_left_ms":12.5,"stage":"both","models":[{"name":"m","edition":1,"adapters":["a"]}],"call_seq":4}`))
@@ -48,9 +48,9 @@
 		assert.GreaterOrEqual(t, heartbeat.Slots, 0)
 		assert.GreaterOrEqual(t, int64(heartbeat.WarmupLeft), int64(0))
 		assert.GreaterOrEqual(t, int64(heartbeat.RemovalIn), int64(0))
-		document := heartbeatDocument{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, Edition: heartbeat.SoftwareVersion,
-			Slots: heartbeat.Slots, State: "accepting", ColdLeftMillis: float64(heartbeat.WarmupLeft) / 1e6,
-			RemainingMillis: float64(heartbeat.RemovalIn) / 1e6, Sequence: heartbeat.Sequence}
+		document := heartbeatDocument{Service: heartbeat.Service, Address: heartbeat.Address, Zone: heartbeat.Zone, SoftwareVersion: heartbeat.SoftwareVersion,
+			Slots: heartbeat.Slots, State: "accepting", WarmUpLeft: float64(heartbeat.WarmupLeft) / 1e6,
+			RemovalIn: float64(heartbeat.RemovalIn) / 1e6, Sequence: heartbeat.Sequence}
 		if heartbeat.Draining {
 			document.State = "closing"
 		}
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -14,8 +14,8 @@
 // isClosingByState maps each state that an endpoint may report to whether it rejects new requests.
 var isClosingByState = map[string]bool{"accepting": false, "closing": true}
 
-// The fields of a heartbeat. Only what a core member can't do without is required: an endpoint whose heartbeat is
-// rejected wouldn't be known at all.
+// The fields of a heartbeat. Only those that a core member can't do without are required, since an endpoint whose
+// heartbeats are rejected isn't registered at all.
 var (
 	heartbeatFields = schema.Table[endpoints.Heartbeat]{
 		{Name: "carrier", Required: true, Check: schema.NotEmpty,
@@ -48,6 +48,7 @@
 	}
 )
 
+// storeAdapters stores the names of a model's adapters.
 func storeAdapters(m *state.Model, value gjson.Result) error {
 	for _, adapter := range value.Array() {
 		m.Adapters = append(m.Adapters, adapter.String())
--- a/serving/operator/httpbody.go
+++ b/serving/operator/httpbody.go
@@ -21,7 +21,7 @@
 // emptyBody is the body of a successful response without data.
 var emptyBody = []byte("{}")
 
-// writeError responds with the error and the status of its numbered kind.
+// writeError responds with the error's text, its number and the HTTP status of its kind.
 func writeError(w http.ResponseWriter, err error) {
 	numbered := errcode.Of(err)
 	body, marshalError := json.Marshal(errorBody{Error: numbered.Error(), Code: numbered.Kind.Code})
@@ -59,8 +59,9 @@
 	}
 }
 
-// changeError returns an error that follows from the committed record as it is, and any other error as one of the given
-// kind, for which the caller retries.
+// changeError converts the error of a change for the response. An error with status 400 or 412, which means that the
+// committed record rejects the change, and errcode.UpdateForgotten keep their kind. Any other error becomes one of the
+// kind otherwise, after which the caller retries.
 func changeError(err error, otherwise errcode.Kind) error {
 	numbered := errcode.Of(err)
 	switch {
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves the control address of a core member: the configuration, the evacuation of zones and the
-// roll-outs of software versions for operators, heartbeats and deregistrations for endpoints. Each resource has its own handler type. Errors are JSON
-// objects with a text and the number of an errcode.Kind.
+// Package operator implements the HTTP API at the control address of a core member. Operators read and change the
+// configuration, evacuate zones and roll out software versions; endpoints send heartbeats and deregister. Each resource
+// has its own handler type. Errors are JSON objects with a text and the number of an errcode.Kind.
 package operator
 
 import (
@@ -20,9 +20,10 @@
 
 // Limits of the control address.
 const (
-	// changeTimeout bounds the work on an operator's request.
+	// changeTimeout bounds a change or a read of the register for an operator's request.
 	changeTimeout = 2500 * time.Millisecond
-	// replicationTimeout bounds the wait until a majority has an endpoint's state on disk. The endpoint waits a second.
+	// replicationTimeout bounds the wait until a majority has an endpoint's state on disk. The endpoint itself waits
+	// one second for the response.
 	replicationTimeout = 500 * time.Millisecond
 	readHeaderTimeout  = 3 * time.Second
 	requestTimeout     = 20 * time.Second // to read a request, and to write its response
@@ -33,21 +34,22 @@
 	maxHeaderBytes     = 64 << 10
 )
 
-// Register is the replicated record. An error whose kind has status 400 or 412 means that the committed record
-// rejects the change; all others leave open whether the change was committed.
+// Register reads and changes the replicated record. If the kind of an error has status 400 or 412, the committed record
+// rejects the change. BeginRollout's errors errcode.RolloutService and errcode.RolloutTooEarly mean the same. After any
+// other error the change may or may not have been committed.
 type Register interface {
-	// ReplaceConfiguration commits a configuration in place of its base version. It also succeeds if that very
-	// configuration was committed before.
+	// ReplaceConfiguration commits a configuration that replaces the one of version baseVersion (0: none yet). It also
+	// succeeds if the same configuration was committed before.
 	ReplaceConfiguration(ctx context.Context, baseVersion uint64, configuration state.Configuration) error
-	// AmendConfiguration commits the result of applying an amendment to its base version. It also succeeds if that very
+	// AmendConfiguration applies an amendment to its base version and commits the result. It also succeeds if the same
 	// amendment was committed before.
 	AmendConfiguration(ctx context.Context, amendment Amendment) error
 	// SetEvacuation starts or ends the evacuation of a zone.
 	SetEvacuation(ctx context.Context, zone string, active bool) error
-	// BeginRollout begins a roll-out, as rollout.Begin says.
+	// BeginRollout commits the beginning of a roll-out; rollout.Begin describes its rules and isRecent.
 	BeginRollout(ctx context.Context, order rollout.Order, isRecent func(orderRevision uint64) bool) error
-	// Read returns the record as a majority holds it. The read is linearizable: it includes all that was acknowledged
-	// before.
+	// Read returns the newest committed record, which a majority confirms. The read is linearizable: it includes every
+	// change that was acknowledged before the call.
 	Read(ctx context.Context) (state.Record, error)
 }
 
@@ -63,27 +65,28 @@
 type Replicator interface {
 	// Put gossips an endpoint's state. It doesn't block.
 	Put(endpoint state.Endpoint)
-	// PutReplicated does the same and returns once as many targets as are a quorum have it on their disks.
+	// PutReplicated gossips an endpoint's state and returns once a quorum of the targets has it on disk.
 	PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error
-	// CheckSuccessor checks whether a heartbeat is of a new process under the ID of a departed endpoint, and registers
-	// that. It doesn't block.
+	// CheckSuccessor checks whether a heartbeat comes from a new process that uses the ID of a departed endpoint and,
+	// if so, registers that process. It doesn't block.
 	CheckSuccessor(id string, heartbeat endpoints.Heartbeat)
 }
 
-// Options of the control address. All but ForwardTo are required.
+// Options holds the dependencies of the control address. Functions that may be nil say so; all else is required.
 type Options struct {
 	Register   Register
 	Endpoints  Endpoints
 	Replicator Replicator
 	Quorum     *quorum.Checker
 	Regions    map[string]string // region by zone: the zones that may be evacuated
-	// ForwardTo returns the control address to which the endpoint should send its next heartbeats, empty for none; see
-	// Forwarder.
+	// ForwardTo returns the control address to which the endpoint should send its next heartbeats; empty for no redirect.
+	// Forwarder.ForwardTo implements it. If nil, no endpoint is redirected.
 	ForwardTo func(id, zone string) string
-	// IsRecentRollout reports whether a roll-out, by its OrderRevision, may have been ordered so short a time ago that
-	// the order is still sent again. Nil: always.
+	// IsRecentRollout reports whether the roll-out with this OrderRevision may have been ordered so recently that its
+	// operator still retries the order. If nil, every roll-out counts as recent.
 	IsRecentRollout func(orderRevision uint64) bool
-	// CheckRollouts returns why no roll-out may begin now, errcode.RolloutReleases. Nil: one may always.
+	// CheckRollouts returns errcode.RolloutReleases while no roll-out may begin, because a member runs a release that
+	// doesn't know roll-outs. If nil, roll-outs may always begin.
 	CheckRollouts func(ctx context.Context) error
 	Log           *zerolog.Logger
 }
@@ -93,10 +96,10 @@
 	configuration := &ConfigurationResource{register: options.Register, log: options.Log}
 	evacuation := &EvacuationResource{register: options.Register, regions: options.Regions, log: options.Log}
 	rollouts := &RolloutResource{
-		register: options.Register,
-		isRecent: options.IsRecentRollout,
-		check:    options.CheckRollouts,
-		log:      options.Log,
+		register:      options.Register,
+		isRecent:      options.IsRecentRollout,
+		checkRollouts: options.CheckRollouts,
+		log:           options.Log,
 	}
 	endpoint := &EndpointResource{
 		endpoints:  options.Endpoints,
@@ -122,7 +125,7 @@
 	return mux
 }
 
-// NewServer returns a server of the handler whose time-outs bound every connection.
+// NewServer returns an HTTP server for the handler, with time-outs and a header limit for every connection.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -82,7 +82,8 @@
 	assert.Equal(t, 200, newFixture(t).call("POST", "/Settings.Replace", validDocument, `X-Based-On: "0"`).Code)
 }
 
-// TestReplace_StatusesOfRegisterErrors: only an error of the committed record is final for the caller.
+// TestReplace_StatusesOfRegisterErrors: only the statuses 400 and 412, with which the committed record rejects a
+// change, are passed to the caller as final. Any other error becomes 503, after which the caller retries.
 func TestReplace_StatusesOfRegisterErrors(t *testing.T) {
 	withStatus := func(status int) error { return errcode.Kind{Code: 9999, Status: status}.With("") }
 	for _, test := range []struct {
@@ -123,8 +124,9 @@
 	}
 }
 
-// TestDisconnectedCaller: the change of a configuration continues, as its base version guards it; that of an evacuation
-// ends, as a later one might have overtaken it.
+// TestDisconnectedCaller: after its caller disconnects, a change of the configuration continues, since its base version
+// keeps it from overwriting a later change. A change of an evacuation has no base version and is abandoned, since a
+// late commit might undo a later change.
 func TestDisconnectedCaller(t *testing.T) {
 	disconnected, disconnect := context.WithCancel(context.Background())
 	disconnect()
@@ -166,7 +168,7 @@
 	}
 }
 
-// TestIncompleteBody_IsRetriable: a body that breaks off gets a status after which the caller retries.
+// TestIncompleteBody_IsRetriable: if the connection breaks off within the body, the status tells the caller to retry.
 func TestIncompleteBody_IsRetriable(t *testing.T) {
 	f := newFixture(t)
 	server := httptest.NewServer(f.handler)
--- a/serving/operator/registeradapter.go
+++ b/serving/operator/registeradapter.go
@@ -8,13 +8,13 @@
 	"rowanlink/serving/state"
 )
 
-// ReplicatedRegister is the part of register.Node that changes use.
+// ReplicatedRegister holds the methods of register.Node that a Register needs.
 type ReplicatedRegister interface {
 	Change(ctx context.Context, update register.Update) (state.Record, error)
 	Read(ctx context.Context) (state.Record, error)
 }
 
-// registerAdapter implements Register by updates of the replicated register.
+// registerAdapter implements Register: it turns each change into an update of the replicated register.
 type registerAdapter struct{ replicated ReplicatedRegister }
 
 // NewRegister returns the replicated register as a Register.
@@ -30,7 +30,7 @@
 
 // AmendConfiguration implements Register.
 func (a registerAdapter) AmendConfiguration(ctx context.Context, amendment Amendment) error {
-	applied := state.AppliedUpdate{Version: amendment.amendment.Version, Digest: amendment.digest}
+	applied := state.AppliedUpdate{Version: amendment.content.Version, Digest: amendment.digest}
 	update := register.AmendConfiguration(amendment.baseVersion, applied, amendment.Apply)
 	_, err := a.replicated.Change(ctx, update)
 	return err
--- a/serving/operator/rollout.go
+++ b/serving/operator/rollout.go
@@ -18,7 +18,7 @@
 	"rowanlink/serving/state"
 )
 
-// maxRolloutDuration bounds the time that an order may allow.
+// maxRolloutDuration is the longest duration (over_s) that an order may give for its roll-out.
 const maxRolloutDuration = 7 * 24 * time.Hour
 
 // rolloutStateNames are the names of the states of roll-outs in responses.
@@ -36,7 +36,7 @@
 	state.RolloutFull:   "full",
 }
 
-// rolloutReasonNames are the names of the reasons of a return in responses.
+// rolloutReasonNames are the names in responses of the reasons for a rollback.
 var rolloutReasonNames = map[state.RolloutReason]string{
 	state.RolloutFailures:     "failures",
 	state.RolloutSlow:         "slow",
@@ -44,7 +44,7 @@
 	state.RolloutUnobservable: "unobservable",
 }
 
-// orderFields are the fields of the order of a roll-out.
+// orderFields are the fields of a roll-out order.
 var orderFields = schema.Table[rollout.Order]{
 	{Name: "carrier", Required: true, Check: schema.NotEmpty,
 		Type: schema.String(func(o *rollout.Order) *string { return &o.Service })},
@@ -62,15 +62,16 @@
 
 // RolloutResource handles the roll-outs of software versions.
 type RolloutResource struct {
-	register Register
-	isRecent func(orderRevision uint64) bool // nil: always
-	check    func(ctx context.Context) error // nil: a roll-out may always begin
-	log      *zerolog.Logger
+	register      Register
+	isRecent      func(orderRevision uint64) bool // may be nil, see Options.IsRecentRollout
+	checkRollouts func(ctx context.Context) error // may be nil, see Options.CheckRollouts
+	log           *zerolog.Logger
 }
 
-// Begin begins a roll-out. It responds with 200 once the order is committed, also if it was before, 400 if it is invalid,
-// 404 if the configuration doesn't name the service, 503 if the outcome is in doubt. An order that was committed is
-// carried out whatever becomes of its caller.
+// Begin begins a roll-out. It responds with 200 once the order is committed, also if the same order was committed
+// before; 400 if it is invalid; 404 if the configuration doesn't name the service; 503 if there is no configuration
+// yet, if a member's release doesn't know roll-outs, or if the outcome is in doubt. The request continues if the caller
+// disconnects, and a committed order is always carried out.
 func (r *RolloutResource) Begin(w http.ResponseWriter, request *http.Request) {
 	order, err := readOrder(w, request)
 	if err != nil {
@@ -82,19 +83,19 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), changeTimeout)
 	defer cancel()
 	if err := r.checkReleases(ctx); err != nil {
-		r.respondRejected(w, order, err)
+		r.writeOrderError(w, order, err)
 		return
 	}
 	if err := r.register.BeginRollout(ctx, order, r.isRecentOrder); err != nil {
-		r.respondRejected(w, order, err)
+		r.writeOrderError(w, order, err)
 		return
 	}
 	r.logOrder(event.RolloutAcknowledged, order).Send()
 	writeJSON(w, http.StatusOK, emptyBody)
 }
 
-// respondRejected responds to an order that wasn't committed, as far as is known.
-func (r *RolloutResource) respondRejected(w http.ResponseWriter, order rollout.Order, err error) {
+// writeOrderError logs and responds with the error of an order. The order was rejected, or its outcome is in doubt.
+func (r *RolloutResource) writeOrderError(w http.ResponseWriter, order rollout.Order, err error) {
 	if errcode.RolloutService.Is(err) || errcode.RolloutTooEarly.Is(err) || errcode.RolloutReleases.Is(err) {
 		r.logOrder(event.RolloutRejected, order).Err(err).Send()
 		writeError(w, err)
@@ -104,23 +105,25 @@
 	writeError(w, changeError(err, errcode.ChangeInDoubt))
 }
 
-// checkReleases returns why no roll-out may begin now.
+// checkReleases returns errcode.RolloutReleases if no roll-out may begin now.
 func (r *RolloutResource) checkReleases(ctx context.Context) error {
-	if r.check == nil {
+	if r.checkRollouts == nil {
 		return nil
 	}
-	return r.check(ctx)
+	return r.checkRollouts(ctx)
 }
 
+// isRecentOrder reports whether an order may be so recent that its operator still retries it.
 func (r *RolloutResource) isRecentOrder(orderRevision uint64) bool {
 	return r.isRecent == nil || r.isRecent(orderRevision)
 }
 
+// logOrder starts a log line of the kind with the fields of an order.
 func (r *RolloutResource) logOrder(kind event.Kind, order rollout.Order) *zerolog.Event {
 	return kind.Log(r.log).Str("service", order.Service).Str("target", order.Target).Dur("duration_ms", order.Duration)
 }
 
-// rolloutBody is the response to a read. Callers that only know the first two fields ignore the others.
+// rolloutBody is the body of the response to a read. Some callers know only its first two fields and ignore the others.
 type rolloutBody struct {
 	State   string             `json:"state"`
 	Target  string             `json:"target"`
@@ -129,7 +132,8 @@
 	Retired []string           `json:"retired,omitempty"`
 }
 
-// rolloutVerdictBody is the part of the response that says what the newest decision rests on.
+// rolloutVerdictBody is the part of the response with the counts that the newest decision is based on and, for a
+// rollback, its reason.
 type rolloutVerdictBody struct {
 	Reason   string     `json:"reason,omitempty"`
 	Route    string     `json:"route,omitempty"`
@@ -137,7 +141,7 @@
 	Baseline countsBody `json:"baseline"`
 }
 
-// countsBody are counts of answers.
+// countsBody holds counts of endpoints' answers, as state.AnswerCounts explains them.
 type countsBody struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed"`
@@ -145,8 +149,8 @@
 	Slow    int `json:"slow"`
 }
 
-// Read responds with the newest roll-out of a service as a majority holds it, 404 if there never was one, or 503 without
-// a majority.
+// Read responds with the newest committed roll-out of a service, 404 if there never was one, or 503 if no majority
+// answers.
 func (r *RolloutResource) Read(w http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), changeTimeout)
 	defer cancel()
@@ -156,12 +160,12 @@
 		return
 	}
 	service := request.PathValue("service")
-	known, found := record.Rollout(service)
+	newest, found := record.Rollout(service)
 	if !found {
 		writeError(w, errcode.RolloutUnknown.With("%q", service))
 		return
 	}
-	body, err := json.Marshal(bodyOf(known))
+	body, err := json.Marshal(newRolloutBody(newest))
 	if err != nil {
 		writeError(w, err)
 		return
@@ -169,26 +173,26 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// bodyOf returns the response that describes a roll-out.
-func bodyOf(known state.Rollout) rolloutBody {
+// newRolloutBody returns the response that describes a roll-out. It has a step only while the roll-out is in progress.
+func newRolloutBody(described state.Rollout) rolloutBody {
 	body := rolloutBody{
-		State:  rolloutStateNames[known.State],
-		Target: known.Target,
+		State:  rolloutStateNames[described.State],
+		Target: described.Target,
 		Verdict: rolloutVerdictBody{
-			Reason:   rolloutReasonNames[known.Verdict.Reason],
-			Route:    known.Verdict.Route,
-			Target:   countsBody(known.Verdict.Target),
-			Baseline: countsBody(known.Verdict.Baseline),
+			Reason:   rolloutReasonNames[described.Verdict.Reason],
+			Route:    described.Verdict.Route,
+			Target:   countsBody(described.Verdict.Target),
+			Baseline: countsBody(described.Verdict.Baseline),
 		},
-		Retired: known.Retired,
+		Retired: described.Retired,
 	}
-	if known.State == state.RolloutInProgress {
-		body.Step = rolloutStepNames[known.Step]
+	if described.State == state.RolloutInProgress {
+		body.Step = rolloutStepNames[described.Step]
 	}
 	return body
 }
 
-// readOrder reads and validates the order of a roll-out.
+// readOrder reads and validates a roll-out order.
 func readOrder(w http.ResponseWriter, request *http.Request) (order rollout.Order, err error) {
 	body, err := readBody(w, request, maxOrderBytes)
 	if err != nil {
@@ -203,7 +207,8 @@
 	return order, nil
 }
 
-// checkService returns why a configuration has no such service; nil if it has.
+// checkService returns nil if a configuration names the service. Otherwise it returns errcode.RolloutTooEarly if there
+// is no configuration yet, or errcode.RolloutService.
 func checkService(configuration state.Configuration, service string) error {
 	if configuration.Version == 0 {
 		return errcode.RolloutTooEarly.With("%q", service)
--- a/serving/operator/rollout_test.go
+++ b/serving/operator/rollout_test.go
@@ -62,9 +62,9 @@
 func TestRollout_ReadTellsStateAndReason(t *testing.T) {
 	f := newFixture(t)
 	for _, test := range []struct {
-		state        state.RolloutState
-		reason       state.RolloutReason
-		name, reader string
+		state                 state.RolloutState
+		reason                state.RolloutReason
+		wantState, wantReason string
 	}{
 		{state.RolloutInProgress, state.RolloutNoReason, "in_transit", ""},
 		{state.RolloutPromoted, state.RolloutNoReason, "delivered", ""},
@@ -73,9 +73,9 @@
 		f.register.record.SetRollout(state.Rollout{Service: "huvo11a", Target: "v2", State: test.state, Step: state.RolloutLoad,
 			Verdict: state.RolloutVerdict{Reason: test.reason, Target: state.AnswerCounts{Answers: 9, Slow: 4}}})
 		body := f.call("GET", "/Editions.Read/huvo11a", "").Body.String()
-		assert.Equal(t, test.name, gjson.Get(body, "state").String())
+		assert.Equal(t, test.wantState, gjson.Get(body, "state").String())
 		assert.Equal(t, "v2", gjson.Get(body, "target").String())
-		assert.Equal(t, test.reader, gjson.Get(body, "verdict.reason").String())
+		assert.Equal(t, test.wantReason, gjson.Get(body, "verdict.reason").String())
 		assert.EqualValues(t, 4, gjson.Get(body, "verdict.target.slow").Int())
 	}
 }
--- a/serving/operator/rollout_threecores_test.go
+++ b/serving/operator/rollout_threecores_test.go
@@ -12,11 +12,11 @@
 // serviceDocument is a configuration with one service.
 const serviceDocument = `{"edition":3,"routings":[],"carriers":[{"name":"label-model"}]}`
 
-// rolloutOrder asks for version v2 of that service.
+// rolloutOrder orders a roll-out of that service to version v2.
 const rolloutOrder = `{"carrier":"label-model","target":"v2","over_s":12}`
 
-// TestThreeCores_RolloutOrderIsAcknowledged guards against issue 78: the order of a roll-out was answered 404 by every
-// core member, so the operator never got an acknowledgement, and no member could tell what became of it.
+// TestThreeCores_RolloutOrderIsAcknowledged guards against issue 78: every core member answered a roll-out order with
+// 404, so that the operator never got an acknowledgement, and no member could report the state of the roll-out.
 func TestThreeCores_RolloutOrderIsAcknowledged(t *testing.T) {
 	cores := startCores(t)
 	cores[0].postUntilOK(t, "/Settings.Replace", serviceDocument, "0")
--- a/serving/operator/threecores_test.go
+++ b/serving/operator/threecores_test.go
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// core is the control address of a core member with a real register, membership and table of endpoints.
+// core is a core member with a real register, membership and table of endpoints, and with the handler of its control
+// address.
 type core struct {
 	name     string
 	handler  http.Handler
@@ -83,6 +84,7 @@
 	return cores
 }
 
+// listenOnOnePort listens on the same port at 127.0.0.1, 127.0.0.2 and 127.0.0.3.
 func listenOnOnePort(t *testing.T) (port int, listeners []net.Listener) {
 	t.Helper()
 	var config net.ListenConfig
@@ -192,7 +194,7 @@
 	return recorder.Code, string(read)
 }
 
-// postUntilOK repeats a POST, as operators do, until it succeeds.
+// postUntilOK repeats a POST, as operators' clients do, until it gets status 200.
 func (c *core) postUntilOK(t *testing.T, path, body, baseVersion string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -240,7 +242,7 @@
 	assert.Less(t, time.Since(start), 6*time.Second)
 }
 
-// TestThreeCores_Amendments: an amendment is applied once, whichever members get it, and only to its base version.
+// TestThreeCores_Amendments: an amendment is applied once even if several members get it, and only to its base version.
 func TestThreeCores_Amendments(t *testing.T) {
 	cores := startCores(t)
 	cores[0].postUntilOK(t, "/Settings.Replace", document(3, "first"), "0")
@@ -271,7 +273,8 @@
 	assert.Equal(t, `{"edition":9,"routings":[],"carriers":[{"name":"t"}],"mark":"first"}`, read)
 }
 
-// TestThreeCores_AmendmentRacesReplacement sends both with the same base version and new version concurrently.
+// TestThreeCores_AmendmentRacesReplacement concurrently sends an amendment and a replacement with the same base version
+// and the same new version: one is committed and the other is rejected.
 func TestThreeCores_AmendmentRacesReplacement(t *testing.T) {
 	cores := startCores(t)
 	cores[0].postUntilOK(t, "/Settings.Replace", document(1, "first"), "0")
@@ -294,7 +297,8 @@
 	}
 }
 
-// TestThreeCores_ConcurrentReplacements sends two configurations with the same base version concurrently: one wins.
+// TestThreeCores_ConcurrentReplacements concurrently sends two configurations with the same base version and the same
+// new version: one is committed and the other is rejected.
 func TestThreeCores_ConcurrentReplacements(t *testing.T) {
 	cores := startCores(t)
 	cores[0].postUntilOK(t, "/Settings.Replace", document(1, "first"), "0")
