--- a/serving/schema/schema.go
+++ b/serving/schema/schema.go
@@ -1,6 +1,6 @@
-// Package schema parses JSON objects into Go values by tables of fields. An entry of a table has a field's name, its
-// type with the destination of the value, the default for a missing field, and a check. Unlike encoding/json it
-// supports defaults and required fields, and names the invalid field in errors.
+// Package schema parses JSON objects into Go values. A table describes the fields of an object: the name of a field,
+// its type with the destination of the value, the default for a missing field, and a check. Unlike encoding/json the
+// package supports defaults and required fields, and its errors name the invalid field.
 package schema
 
 import (
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxFields is the size of the bit set of the fields that an object has.
+	// maxFields is the maximum length of a table: the fields that are present in an object are kept as bits of a
+	// uint64.
 	maxFields = 64
 	// maxDepth is the deepest nesting of lists and objects that is accepted.
 	maxDepth = 1000
@@ -24,10 +25,10 @@
 	Name     string       // in the document
 	Type     Type[Target] // of the value
 	Required bool         // a document without the field is invalid
-	Default  string       // JSON that stands for a missing field; empty: the zero value stays
+	Default  string       // JSON value of a missing field; empty: the target isn't changed
 	// ZeroMeansDefault treats a zero as a missing field.
 	ZeroMeansDefault bool
-	Check            Check // may be nil
+	Check            Check // nil: no check
 }
 
 // Type is the type of a field's value. Its store function converts a value and stores it in the target, or returns an
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// exceedsMaxDepth reports whether lists and objects are nested deeper than maxDepth: gjson recurses as deep. The result
-// is meaningless for bytes that aren't JSON.
+// exceedsMaxDepth reports whether lists and objects are nested deeper than maxDepth. It is checked before gjson
+// validates the document, since gjson recurses once per level. The result is meaningless for bytes that aren't JSON.
 func exceedsMaxDepth(document []byte) bool {
 	depth, inString := 0, false
 	for index := 0; index < len(document); index++ {
@@ -96,6 +97,7 @@
 	return t.applyDefaults(present, target)
 }
 
+// fieldIndex returns the index of the field with a name, or -1.
 func (t Table[Target]) fieldIndex(name string) int {
 	for index := range t {
 		if t[index].Name == name {
@@ -146,9 +148,10 @@
 	return nil
 }
 
-// maxExcerptBytes is the length of an invalid value to which an error shortens it.
+// maxExcerptBytes is the maximum length of an invalid value in an error; longer values are cut off.
 const maxExcerptBytes = 40
 
+// excerpt returns the beginning of a JSON value for an error.
 func excerpt(raw string) string {
 	if len(raw) > maxExcerptBytes {
 		return strings.ToValidUTF8(raw[:maxExcerptBytes], "") + "..."
@@ -156,16 +159,17 @@
 	return raw
 }
 
-// fieldError is an invalid field with the reason.
+// fieldError is the error for an invalid field.
 type fieldError struct {
-	path    string // such as `routings[3] "name".timeout_ms`; empty: the value itself
+	path    string // such as `routings[3] "name".timeout_ms`; empty until wrapFieldError adds the name of the field
 	problem string
 }
 
 // Error implements error.
 func (e *fieldError) Error() string { return e.path + " " + e.problem }
 
-// wrapFieldError prefixes the path of a field's error with the name of the enclosing field.
+// wrapFieldError returns a *fieldError for err. If err is one already, its path is prefixed with the name of the
+// enclosing field.
 func wrapFieldError(name string, err error) error {
 	var inner *fieldError
 	if !errors.As(err, &inner) {
--- a/serving/schema/types.go
+++ b/serving/schema/types.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxExactInteger is the largest integer up to which a float64 holds every integer exactly.
+	// maxExactInteger is 2^53: a float64 represents every integer up to it exactly.
 	maxExactInteger = 1 << 53
-	// initialListCapacity is the capacity with which a list of objects is allocated.
+	// initialListCapacity is the capacity that a list of objects has at first.
 	initialListCapacity = 4
 	// maxDuration is the value to which longer durations are reduced.
 	maxDuration = 1000 * time.Hour
@@ -118,7 +118,8 @@
 	}}
 }
 
-// Duration is the type of a non-negative duration as a number of units. Durations above 1000 hours are reduced to that.
+// Duration is the type of a non-negative duration, given as a number of units. A duration above 1000 hours becomes 1000
+// hours.
 func Duration[Target any](unit time.Duration, field func(*Target) *time.Duration) Type[Target] {
 	return Type[Target]{store: func(target *Target, value gjson.Result) error {
 		if !isNonNegative(value) {
@@ -150,8 +151,8 @@
 	}}
 }
 
-// ObjectList is the type of a list of objects with their own table. Errors name an object by its index and, if it
-// has one, by its field label.
+// ObjectList is the type of a list of objects with their own table. Errors identify an object by its index and, if it
+// has a string field with the name label, also by that field's value.
 func ObjectList[Target, Inner any](table Table[Inner], label string, field func(*Target) *[]Inner) Type[Target] {
 	requireSize(table)
 	return Type[Target]{store: func(target *Target, value gjson.Result) (err error) {
@@ -173,6 +174,7 @@
 	}}
 }
 
+// parseInner parses the value of a field as an object with its own table.
 func parseInner[Inner any](table Table[Inner], value gjson.Result, inner *Inner) error {
 	if !value.IsObject() {
 		return typeError("an object", value)
@@ -180,12 +182,12 @@
 	return table.parseObject(value, inner)
 }
 
-// Raw is the type of any JSON value. The function stores it or returns what is wrong with it.
+// Raw is the type of any JSON value. The function store stores the value, or returns an error if it is invalid.
 func Raw[Target any](store func(target *Target, value gjson.Result) error) Type[Target] {
 	return Type[Target]{store: store}
 }
 
-// requireSize panics if a table has too many fields.
+// requireSize panics if a table has more than maxFields fields.
 func requireSize[Target any](table Table[Target]) {
 	if len(table) > maxFields {
 		panic("table with too many fields")
@@ -200,7 +202,8 @@
 	return isNonNegative(value) && value.Num == math.Trunc(value.Num) && value.Num <= maxExactInteger
 }
 
-// elementPath returns the path of an element of a list in errors.
+// elementPath returns how errors name an element of a list: [index], followed by the value of its field label if it has
+// one.
 func elementPath(index int, item gjson.Result, label string) string {
 	if label == "" || !item.IsObject() {
 		return fmt.Sprintf("[%d]", index)
--- a/serving/settings/bounds.go
+++ b/serving/settings/bounds.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// boundSettings are the service levels that operators require. A deployment may leave out any of them.
+// boundSettings returns the settings of the service levels that operators require. A file may leave out any of them.
 func boundSettings() []Setting {
 	return slices.Concat(timeBoundSettings(), ratioBoundSettings(), unexplainedBoundSettings())
 }
 
-// unexplainedBoundSettings are bounds of which the operators' pages don't say what they bound. They are kept as text, so
-// that no value of theirs keeps a process from starting, and have no effect; see Process.SettingsWithoutEffect.
+// unexplainedBoundSettings returns the bounds that the operators' documentation names without saying what they bound.
+// Their values have no effect and are stored as text, so that no value keeps a process from starting; see
+// Process.SettingsWithoutEffect.
 func unexplainedBoundSettings() []Setting {
 	return []Setting{
-		textSetting("bounds.again_s", "Not explained by the operators' pages, where it is 0. Kept, without effect.",
+		textSetting("bounds.again_s", "Meaning unknown: the operators' documentation gives it as 0 and doesn't explain it. Accepted, without effect.",
 			func(p *Process) *string { return &p.Bounds.Again }),
 	}
 }
@@ -62,13 +63,13 @@
 	return []Setting{
 		numberSetting("bounds.retry_ratio", "0.2", "Retry budget of a service, as a fraction of its requests.",
 			func(p *Process) *float64 { return &p.Bounds.RetryRatio }),
-		numberSetting("bounds.retry_slack", "50", "Retries allowed beyond that fraction.",
+		numberSetting("bounds.retry_slack", "50", "Retries allowed beyond that budget.",
 			func(p *Process) *float64 { return &p.Bounds.RetrySlack }),
 		numberSetting("bounds.exposure_share", "0.1", "Share of a service's requests that a bad software version may get during its roll-out.",
 			func(p *Process) *float64 { return &p.Bounds.ExposureShare }),
-		numberSetting("bounds.cold_excess", "1.5", "Factor on the requests per second that a warming-up endpoint takes.",
+		numberSetting("bounds.cold_excess", "1.5", "Limit of requests per second to a warming-up endpoint, as a multiple of its service's warm-up rate.",
 			func(p *Process) *float64 { return &p.Bounds.WarmUpExcess }),
-		numberSetting("bounds.cold_slack", "5", "Requests per second allowed beyond that.",
+		numberSetting("bounds.cold_slack", "5", "Requests per second to a warming-up endpoint that are allowed beyond that limit.",
 			func(p *Process) *float64 { return &p.Bounds.WarmUpSlack }),
 	}
 }
--- a/serving/settings/fuzz_test.go
+++ b/serving/settings/fuzz_test.go
@@ -9,7 +9,8 @@
 	"rowanlink/serving/errcode"
 )
 
-// FuzzSettings: a file is rejected with a numbered error, or its settings are within their ranges and the same each time.
+// FuzzSettings: any content is rejected with a numbered error, or its settings are within their ranges and are the same
+// if it is parsed again.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte("node_name=n\nip_addr=127.0.0.1\nzone=z\nregion=r\nport_range=7160,7199\nseed_nodes=127.0.0.2:7146\n" +
 		"zones.z=r\nlimits.cpu_fraction=0.4\nbeat_ms=500\nlimits.ram_mb=1e3\n"))
--- a/serving/settings/load.go
+++ b/serving/settings/load.go
@@ -13,7 +13,8 @@
 // EnvironmentVariable is the name of the environment variable with the path of the settings file.
 const EnvironmentVariable = "ROWANLINK_SETTINGS"
 
-// FromEnvironment loads the file that EnvironmentVariable names.
+// FromEnvironment loads the settings file whose path is the value of the environment variable EnvironmentVariable.
+// Errors are those of Load, and errcode.SettingsUnreadable if the variable isn't set.
 func FromEnvironment() (*Process, error) {
 	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
@@ -53,7 +54,7 @@
 	return process, nil
 }
 
-// apply stores the setting's value and returns its problems.
+// apply stores the setting's value in the process and returns what is wrong with it; none if it is valid.
 func (s Setting) apply(process *Process, file *properties.Properties) (problems []string) {
 	if s.Pattern {
 		return s.applyPattern(process, file)
@@ -85,6 +86,7 @@
 	return problems
 }
 
+// storeValue stores one value; name is as in Setting.store.
 func (s Setting) storeValue(process *Process, key, name, value string) (problems []string) {
 	if err := s.store(process, name, value); err != nil {
 		return []string{fmt.Sprintf("%s=%q: expected %s (%v)", key, value, s.Type, err)}
--- a/serving/settings/load_test.go
+++ b/serving/settings/load_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/errcode"
 )
 
-// TestParse prints the parsed settings, or all errors in the file.
+// TestParse compares the parsed settings, or all errors in the file, with the expected ones in testdata/parse.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(t *testing.T, d *datadriven.TestData) string {
 		process, err := Parse([]byte(d.Input))
@@ -43,14 +43,16 @@
 	require.NoError(t, err)
 	assert.Equal(t, "10.0.0.1:7000", process.InternalAddress())
 	assert.Equal(t, "127.0.0.1:7001", process.SubscriptionAddress())
-	inner, err := process.InternalAddressOf("10.0.0.9:99")
+	internal, err := process.InternalAddressOf("10.0.0.9:99")
 	require.NoError(t, err)
-	assert.Equal(t, "10.0.0.9:7000", inner)
+	assert.Equal(t, "10.0.0.9:7000", internal)
 }
 
+// minimalSettings holds only the required settings.
 const minimalSettings = "node_name=n\nip_addr=10.0.0.1\nzone=z\nregion=r\nport_range=7000,7001\n"
 
-// TestSubscriptionAddress_MachinesOnOneHost: with the common loopback address their agents would clash.
+// TestSubscriptionAddress_MachinesOnOneHost: with one loopback address for all, the agents of simulated machines on one
+// host would listen on the same port.
 func TestSubscriptionAddress_MachinesOnOneHost(t *testing.T) {
 	process, err := Parse([]byte("node_name=n\nip_addr=127.0.1.5\nzone=z\nregion=r\nport_range=7000,7001\n"))
 	require.NoError(t, err)
@@ -64,7 +66,8 @@
 	assert.Equal(t, 250*time.Microsecond, process.Bounds.Drain)
 }
 
-// TestParse_UnexplainedBoundIsKept: whatever its value, the process starts, and says if it can't obey it.
+// TestParse_UnexplainedBoundIsKept: bounds.again_s is accepted with any value, and SettingsWithoutEffect lists it
+// unless the value is empty or zero.
 func TestParse_UnexplainedBoundIsKept(t *testing.T) {
 	for value, hasNoEffect := range map[string]bool{"": false, "0": false, "0.0": false, "3": true, "true": true} {
 		process, err := Parse([]byte(minimalSettings + "bounds.again_s=" + value + "\n"))
--- a/serving/settings/process.go
+++ b/serving/settings/process.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// loopback is the address by which processes on one machine reach each other.
+// loopback is the address at which processes on one machine reach each other.
 const loopback = "127.0.0.1"
 
 // Process holds the validated settings of one process. The JSON names are those that `rowanctl settings check --json`
@@ -21,7 +21,7 @@
 	Regions  map[string]string `json:"Regions"` // region by zone
 
 	Bind       Bind     `json:"Bind"`
-	FirstPort  int      `json:"FirstPort"` // FirstPort to LastPort are for calls among the system's processes
+	FirstPort  int      `json:"FirstPort"` // FirstPort to LastPort are reserved for calls among the system's processes
 	LastPort   int      `json:"LastPort"`
 	Seeds      []string `json:"Seeds"`    // control addresses of a few machines, possibly outdated
 	FirstRun   bool     `json:"FirstRun"` // the very first start of the whole system
@@ -34,7 +34,8 @@
 	Bounds            Bounds         `json:"Bounds"`
 }
 
-// Bind holds the addresses, host:port, for outside callers; empty for interfaces that the process doesn't serve.
+// Bind holds the addresses, host:port, at which the process listens for outside callers. An address is empty if the
+// process doesn't serve that interface.
 type Bind struct {
 	Front     string `json:"Front"`     // clients' requests
 	Ready     string `json:"Ready"`     // the platform's readiness checks
@@ -42,17 +43,17 @@
 	Directory string `json:"Directory"` // clients' look-ups
 }
 
-// Limits of the machine that one process may use.
+// Limits holds the resources of the machine that one process may use.
 type Limits struct {
 	CPUFraction float64 `json:"CPUFraction"` // of a core
-	CPUCores    float64 `json:"CPUCores"`    // speed of that core relative to an ordinary one
+	CPUCores    float64 `json:"CPUCores"`    // speed of that core, as a multiple of an ordinary core's
 	MemoryMB    int     `json:"MemoryMB"`
 	FileLimit   int     `json:"FileLimit"` // open file descriptors
 	LinkMbps    float64 `json:"LinkMbps"`
 	DiskMB      int     `json:"DiskMB"`
 }
 
-// FaultTolerance is what may fail at the same time without a violation of any bound.
+// FaultTolerance holds how many machines, zones and regions may fail at the same time without a violation of any bound.
 type FaultTolerance struct {
 	MachineLosses int `json:"MachineLosses"`
 	Zones         int `json:"Zones"`
@@ -77,18 +78,18 @@
 	RetrySlack      float64       `json:"RetrySlack"`
 	WarmUpExcess    float64       `json:"ColdExcess"`
 	WarmUpSlack     float64       `json:"ColdSlack"`
-	// ExposureShare of a service's requests may go to a bad version during its roll-out.
+	// ExposureShare is the share of a service's requests that may go to a bad version during its roll-out.
 	ExposureShare    float64       `json:"ExposureShare"`
 	Rollback         time.Duration `json:"Rollback"`
 	Evacuation       time.Duration `json:"Evacuate"`
 	Recovery         time.Duration `json:"Recovery"`
 	StreamForwarding time.Duration `json:"Pass"`
 	MaxTTL           time.Duration `json:"TTLMost"`
-	Again            string        `json:"Again"` // without effect, see SettingsWithoutEffect
+	Again            string        `json:"Again"` // meaning unknown, without effect; see SettingsWithoutEffect
 }
 
-// SettingsWithoutEffect returns the keys of settings that have a value other than zero and that this release can't obey,
-// since what they mean isn't known.
+// SettingsWithoutEffect returns the keys of settings that have a value other than zero but no effect in this release,
+// because their meaning isn't known.
 func (p *Process) SettingsWithoutEffect() (keys []string) {
 	if value, err := strconv.ParseFloat(p.Bounds.Again, 64); p.Bounds.Again != "" && (err != nil || value != 0) {
 		keys = append(keys, "bounds.again_s")
@@ -99,8 +100,9 @@
 // InternalAddress returns the address at which the other processes of the system call this machine.
 func (p *Process) InternalAddress() string { return net.JoinHostPort(p.IP, strconv.Itoa(p.FirstPort)) }
 
-// SubscriptionAddress returns the loopback address at which the proxy of this machine polls its agent. Simulated
-// machines that share one host have their own loopback addresses and use these, as the common one would clash.
+// SubscriptionAddress returns the loopback address at which the proxy of this machine polls its agent. If the machine's
+// own address is a loopback address, that one is used: simulated machines on one host have different loopback
+// addresses, and with a common one their agents would listen on the same port.
 func (p *Process) SubscriptionAddress() string {
 	host := loopback
 	if ip := net.ParseIP(p.IP); ip != nil && ip.IsLoopback() {
@@ -109,8 +111,8 @@
 	return net.JoinHostPort(host, strconv.Itoa(p.FirstPort+1))
 }
 
-// InternalAddressOf returns the internal address of the machine with a control address. The ports are the same on all
-// machines.
+// InternalAddressOf returns the internal address of the machine that has a control address. The internal port is the
+// same on all machines.
 func (p *Process) InternalAddressOf(control string) (string, error) {
 	host, _, err := net.SplitHostPort(control)
 	if err != nil {
--- a/serving/settings/setting.go
+++ b/serving/settings/setting.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Setting is an entry of the table by which a settings file is parsed and documented.
+// Setting is an entry of the table from which settings files are parsed and docs/settings.md is generated.
 type Setting struct {
 	Key      string // in the file; for a Pattern, the prefix of the keys
 	Type     string // describes the values
@@ -140,7 +140,7 @@
 	}
 }
 
-// required returns the setting as a required one.
+// required returns a copy of the setting that is required.
 func required(s Setting) Setting {
 	s.Required = true
 	return s
--- a/serving/settings/table.go
+++ b/serving/settings/table.go
@@ -11,8 +11,8 @@
 // internalPorts is the number of ports that the processes on one machine need for calls among themselves.
 const internalPorts = 2
 
-// Table returns all settings, in the order of the docs. Unknown keys of a file are ignored: operators may add keys at any
-// time.
+// Table returns all settings, in the order of docs/settings.md. Other keys in a file are ignored, since operators may
+// add keys at any time.
 func Table() []Setting {
 	return slices.Concat(
 		identitySettings(),
--- a/serving/settings/watch.go
+++ b/serving/settings/watch.go
@@ -17,8 +17,8 @@
 const WatchInterval = 2 * time.Second
 
 // Watch calls apply with the settings at its start and after each change of the file, until the context ends. It reads
-// the file every interval and on SIGHUP, as a file may change without a signal. An invalid file is logged to the
-// context's zerolog logger and ignored.
+// the file on SIGHUP and, as the file may change without a signal, also at every interval. A file that is invalid or
+// can't be read is logged to the context's zerolog logger and otherwise ignored.
 func Watch(ctx context.Context, path string, interval time.Duration, apply func(*Process)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -44,10 +44,10 @@
 	apply      func(*Process)
 	log        *zerolog.Logger
 	content    []byte
-	unreadable bool // the file couldn't be read the last time
+	unreadable bool // the last read of the file failed
 }
 
-// reload reads the file and applies it if it has changed.
+// reload reads the file and applies it if its content has changed.
 func (w *watcher) reload() {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
--- a/serving/settings/watch_test.go
+++ b/serving/settings/watch_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fileChange is a change of the file before a reload.
+// fileChange is a change of the file, and what the reload after it must do.
 type fileChange struct {
 	name    string
 	content string // empty: the file is removed
