--- a/serving/catalogue/list.go
+++ b/serving/catalogue/list.go
@@ -4,10 +4,10 @@
 	"strings"
 )
 
-// todo is the hand-written text of a new entry until someone writes it.
+// todo is the placeholder for the hand-written text of a new entry.
 const todo = "TODO"
 
-// list is one file in docs/: an introduction and a Markdown table. The table's first column is the key of an entry; its
+// list is one file in docs/: an introduction and a Markdown table. The table's first column identifies an entry; its
 // last column is written by hand if hasHandwrittenColumn is set.
 type list struct {
 	path                 string // relative to the root of the repository
@@ -17,7 +17,7 @@
 	hasHandwrittenColumn bool
 }
 
-// render returns the file's content, with the hand-written texts of its previous content.
+// render returns the file's new content, with the hand-written texts of its previous content.
 func (l list) render(previous string) string {
 	texts := handwrittenTexts(previous)
 	var file strings.Builder
@@ -38,7 +38,7 @@
 	return file.String()
 }
 
-// writeRow writes a row of the table: cells are escaped, raw ones are written as they are.
+// writeRow writes a row of the table. The cells are escaped; raw cells follow them unchanged.
 func writeRow(file *strings.Builder, cells []string, raw ...string) {
 	for _, cell := range cells {
 		file.WriteString("| " + escapeCell(cell) + " ")
@@ -49,9 +49,10 @@
 	file.WriteString("|\n")
 }
 
+// escapeCell escapes the separator of columns in a cell.
 func escapeCell(cell string) string { return strings.ReplaceAll(cell, "|", `\|`) }
 
-// handwrittenTexts returns the last column of a file's table by the first column.
+// handwrittenTexts returns the texts in the last column of a file's table, by the text in the first column.
 func handwrittenTexts(file string) map[string]string {
 	texts := map[string]string{}
 	for line := range strings.Lines(file) {
--- a/serving/catalogue/list_test.go
+++ b/serving/catalogue/list_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestLists_MatchTheCode fails if a setting, event or result code was added, changed or removed and its list in docs/
-// wasn't rewritten, or if an entry has no hand-written text.
+// wasn't generated again, or if the hand-written text of an entry is missing.
 func TestLists_MatchTheCode(t *testing.T) {
 	for _, list := range lists() {
 		content, err := os.ReadFile(filepath.Join("..", "..", list.path))
--- a/serving/errcode/errcode.go
+++ b/serving/errcode/errcode.go
@@ -1,6 +1,6 @@
 // Package errcode numbers the errors that the programs of the serving system return to callers. docs/result-codes.md
-// lists every number with its meaning and what to do; a test of serving/catalogue compares the two. Each part of the
-// system has a block of a hundred numbers, in its own file.
+// lists every number with its message and what to do; a test of serving/catalogue compares the two. Each part of the
+// system has a range of a hundred numbers; each file of this package defines one range or a part of one.
 package errcode
 
 import (
@@ -16,8 +16,8 @@
 // Kind is a numbered kind of error.
 type Kind struct {
 	Code    Code
-	Status  int // HTTP status of responses with this error
-	Message string
+	Status  int    // HTTP status of responses with this error
+	Message string // what went wrong, in a few words; an Error's detail follows it
 }
 
 // kinds holds all kinds by number.
@@ -55,13 +55,14 @@
 	return &Error{Kind: k, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Is reports whether the chain of err has an *Error of the kind.
+// Is reports whether the error chain of err has an *Error of the kind.
 func (k Kind) Is(err error) bool {
 	var numbered *Error
 	return errors.As(err, &numbered) && numbered.Kind.Code == k.Code
 }
 
-// Of returns the *Error in the chain of err or, if it has none, one of kind Internal with err's text as its detail.
+// Of returns the *Error in the error chain of err. If there is none, it returns one of kind Internal with err's text as
+// its detail.
 func Of(err error) *Error {
 	var numbered *Error
 	if errors.As(err, &numbered) {
--- a/serving/errcode/register.go
+++ b/serving/errcode/register.go
@@ -4,16 +4,17 @@
 
 // Errors of changes and reads of the replicated register (200 to 299).
 var (
-	// RegisterUnavailable: nothing was changed; a retry is safe.
+	// RegisterUnavailable means that nothing was changed; a retry is safe.
 	RegisterUnavailable = define(200, http.StatusServiceUnavailable, "no majority of the register's replicas answered in time")
-	// RegisterInDoubt: the change may or may not be committed.
+	// RegisterInDoubt means that the change may or may not be committed.
 	RegisterInDoubt = define(201, http.StatusGatewayTimeout, "no majority confirmed the change in time; it may be in force")
-	// VersionConflict: the change's base version is not the current one. The change is not and never will be committed.
+	// VersionConflict means that the change's base version is not the current one. The change is not committed and
+	// never will be.
 	VersionConflict = define(202, http.StatusPreconditionFailed, "another version of the configuration is current")
-	// VersionNotAbove: the new version number is not above the current one.
+	// VersionNotAbove means that the new version number is not above the current one.
 	VersionNotAbove = define(203, http.StatusBadRequest, "the configuration's version is not above the current one")
-	// RegisterNotReady: this process doesn't know the register's replicas yet.
+	// RegisterNotReady means that this process doesn't know the register's replicas yet.
 	RegisterNotReady = define(204, http.StatusServiceUnavailable, "the register's replicas are not known yet")
-	// UpdateForgotten: the change may have been committed so long ago that the history doesn't reach back to it.
+	// UpdateForgotten means that the history of changes is too short to tell whether the change was committed earlier.
 	UpdateForgotten = define(205, http.StatusServiceUnavailable, "the change is older than the history of changes; it may have been in force")
 )
--- a/serving/event/event.go
+++ b/serving/event/event.go
@@ -1,6 +1,6 @@
 // Package event numbers the events that the programs of the serving system log. docs/log-events.md lists every number
-// with its meaning and what to do; a test of serving/catalogue compares the two. Each part of the system has a block
-// of a hundred numbers, in its own file.
+// with its message and what to do; a test of serving/catalogue compares the two. Each part of the system has its own
+// file and its own range of numbers.
 package event
 
 import (
@@ -22,7 +22,7 @@
 // kinds holds all kinds by number.
 var kinds = map[Code]Kind{}
 
-// define registers a kind. It panics if the number is in use already.
+// define registers a kind. It panics if the number is in use already or isn't below maxCodes.
 func define(code Code, level zerolog.Level, message string) Kind {
 	if _, exists := kinds[code]; exists || code >= maxCodes {
 		panic("event code defined twice or too high")
@@ -35,13 +35,14 @@
 // All returns all kinds by number. The caller must not change the map.
 func All() map[Code]Kind { return kinds }
 
-// counts has the number of events by code, for metrics.
+// counts holds the number of events by code, for metrics.
 var counts [maxCodes]atomic.Uint64
 
-// maxCodes is above all codes.
+// maxCodes bounds the codes: each is below it.
 const maxCodes = 1000
 
-// Count returns how many events of a kind this process has begun to log, whether or not their level is written.
+// Count returns how often this process has called Log for the kind with a code. Events whose level isn't written to the
+// log count too.
 func Count(code Code) uint64 { return counts[code].Load() }
 
 // Log starts a log line of the kind. The caller adds fields and writes it with Send.
