--- a/cmd/rowanctl/config.go
+++ b/cmd/rowanctl/config.go
@@ -12,7 +12,7 @@
 	"rowanlink/serving/routing"
 )
 
-// configCommand groups the commands on the configuration.
+// configCommand groups the commands that read, change or check the configuration.
 type configCommand struct {
 	Get   configGetCommand   `cmd:"" help:"Print the configuration in force, byte for byte as it was sent."`
 	Put   configPutCommand   `cmd:"" help:"Replace the configuration."`
@@ -59,7 +59,7 @@
 	return s.printAcknowledgement("in force")
 }
 
-// configAmendCommand changes named items of the configuration.
+// configAmendCommand adds, replaces or removes named routes and services of the configuration.
 type configAmendCommand struct {
 	File   string `arg:"" type:"existingfile" help:"Amendment: a JSON object with 'edition', 'upsert' and 'remove'."`
 	Base   uint64 `required:"" placeholder:"VERSION" help:"Version that the amendment is based on, as 'rowanctl config get' shows it; 0 if there is none yet."`
@@ -89,8 +89,8 @@
 	return s.printAcknowledgement("in force")
 }
 
-// printChanges prints what the amendment would change in the configuration in force. Its errors are those with which the
-// amendment would be rejected.
+// printChanges prints what the amendment would change in the configuration in force. If the amendment would be
+// rejected, it returns the error of the rejection.
 func (c *configAmendCommand) printChanges(ctx context.Context, s *session, operator *client.Client,
 	amendment *routing.Amendment) error {
 	document, err := operator.Configuration(ctx)
--- a/cmd/rowanctl/config_test.go
+++ b/cmd/rowanctl/config_test.go
@@ -20,7 +20,7 @@
 	"rowanlink/serving/state"
 )
 
-// fakeRegister holds a record without replicas. It implements operator.Register.
+// fakeRegister implements operator.Register by a record in memory.
 type fakeRegister struct {
 	record state.Record
 	err    error // returned by each call
@@ -168,7 +168,7 @@
 	assert.Zero(t, calls)
 }
 
-// TestFailover makes the first core fail in different ways.
+// TestFailover makes the first core member fail in different ways; the call must then succeed at the second one.
 func TestFailover(t *testing.T) {
 	faults := map[string]http.HandlerFunc{
 		"unavailable":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
--- a/cmd/rowanctl/endpoints.go
+++ b/cmd/rowanctl/endpoints.go
@@ -17,8 +17,8 @@
 type endpointRow struct {
 	ID               string `json:"id"`
 	Service          string `json:"service"`
-	State            string `json:"state"` // in the words of the operators' wire
-	shownState       string
+	State            string `json:"state"` // in the words of jsonStateWords
+	tableState       string // the same state in the words of tableStateWords
 	Zone             string `json:"zone"`
 	Address          string `json:"address"`
 	Slots            int    `json:"slots"`
@@ -29,7 +29,7 @@
 func (r endpointRow) cells() []string {
 	slots := strconv.Itoa(r.Slots)
 	warmUpLeft := fmt.Sprintf("%d ms", r.WarmUpLeftMillis)
-	return []string{r.ID, r.Service, r.shownState, r.Zone, r.Address, slots, orNoValue(r.SoftwareVersion), warmUpLeft}
+	return []string{r.ID, r.Service, r.tableState, r.Zone, r.Address, slots, orNoValue(r.SoftwareVersion), warmUpLeft}
 }
 
 // Run implements the command.
@@ -46,8 +46,8 @@
 		rows = append(rows, endpointRow{
 			ID:               endpoint.ID,
 			Service:          endpoint.Service,
-			State:            endpointStateName(endpoint, wireStateWords),
-			shownState:       endpointStateName(endpoint, shownStateWords),
+			State:            endpointStateName(endpoint, jsonStateWords),
+			tableState:       endpointStateName(endpoint, tableStateWords),
 			Zone:             endpoint.Zone,
 			Address:          endpoint.Address,
 			Slots:            endpoint.Slots,
--- a/cmd/rowanctl/main.go
+++ b/cmd/rowanctl/main.go
@@ -1,5 +1,5 @@
-// Command rowanctl is the operators' command line: it reads and changes the configuration, evacuates zones, and shows
-// what the members of the system know.
+// Command rowanctl is the operators' command line tool: it reads and changes the configuration, evacuates zones, rolls
+// out software versions, and shows the state that the members of the system report.
 package main
 
 import (
@@ -38,11 +38,11 @@
 	CheckSettings settingsCommand  `cmd:"" name:"settings" help:"Check the settings file of a process."`
 }
 
-// offlineCommands are the prefixes of commands that make no calls. They must work without a valid settings file: one of
-// them checks such files.
+// offlineCommands are the prefixes of commands that call no member. They must work without a valid settings file, since
+// one of them checks such files.
 var offlineCommands = []string{"settings check", "config check"}
 
-// session holds what commands use: the addresses to call and the form of the output.
+// session holds the addresses that commands call and the form of their output.
 type session struct {
 	targets targets
 	out     io.Writer
@@ -84,7 +84,7 @@
 	return parsed.Run(s)
 }
 
-// Exit codes. kong's own is 80, for an invalid command line.
+// Exit codes of a failed command. In addition, kong exits with 80 if the command line is invalid.
 const (
 	exitFailed   = 1
 	exitRejected = 3
--- a/cmd/rowanctl/members.go
+++ b/cmd/rowanctl/members.go
@@ -13,7 +13,7 @@
 type memberRow struct {
 	Name    string `json:"name"`
 	Role    string `json:"role"`
-	Replica string `json:"part,omitempty"` // in the register: voter or learner
+	Replica string `json:"part,omitempty"` // kind of its replica of the register: voter or learner
 	State   string `json:"state"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
--- a/cmd/rowanctl/members_test.go
+++ b/cmd/rowanctl/members_test.go
@@ -15,7 +15,7 @@
 	"rowanlink/serving/state"
 )
 
-// newTestReport returns the report of the member at an address.
+// newTestReport returns a report of the member at an address, with one row or more for each table.
 func newTestReport(address string) introspect.Report {
 	report := introspect.Report{Self: state.Member{Name: "a", Address: address}}
 	report.SetRecord(&state.Record{Revision: 5, Configuration: state.Configuration{Version: 9},
@@ -94,7 +94,7 @@
 
 	addresses, err = (&commandLine{Control: []string{"c:1"}}).targets()
 	require.NoError(t, err)
-	assert.Equal(t, targets{control: []string{"c:1"}, members: []string{"c:1"}}, addresses, "one kind of address suffices")
+	assert.Equal(t, targets{control: []string{"c:1"}, members: []string{"c:1"}}, addresses, "control addresses serve for reports too")
 
 	_, err = (&commandLine{Settings: filepath.Join(t.TempDir(), "absent")}).targets()
 	assert.Error(t, err)
--- a/cmd/rowanctl/names.go
+++ b/cmd/rowanctl/names.go
@@ -14,15 +14,15 @@
 	state.MemberLeft:     "left",
 }
 
-// endpointStateWords are the words for an endpoint's state.
+// endpointStateWords holds the names of endpoints' states, and the word that is added for an unresponsive endpoint.
 type endpointStateWords struct {
 	states       map[state.EndpointState]string
 	unresponsive string
 }
 
 var (
-	// shownStateWords are those in tables.
-	shownStateWords = endpointStateWords{
+	// tableStateWords are the words in tables.
+	tableStateWords = endpointStateWords{
 		states: map[state.EndpointState]string{
 			state.EndpointAccepting: "accepting",
 			state.EndpointDraining:  "draining",
@@ -30,8 +30,8 @@
 		},
 		unresponsive: "unresponsive",
 	}
-	// wireStateWords are those in JSON, which programs compare.
-	wireStateWords = endpointStateWords{
+	// jsonStateWords are the words in JSON output. They must not change, since programs compare them.
+	jsonStateWords = endpointStateWords{
 		states: map[state.EndpointState]string{
 			state.EndpointAccepting: "accepting",
 			state.EndpointDraining:  "closing",
@@ -55,7 +55,7 @@
 	return memberStateNames[member.Member.State]
 }
 
-// endpointStateName returns an endpoint's state in some words.
+// endpointStateName returns the name of an endpoint's state in the given words.
 func endpointStateName(endpoint state.Endpoint, words endpointStateWords) string {
 	name := words.states[endpoint.State]
 	if endpoint.Unresponsive {
--- a/cmd/rowanctl/output.go
+++ b/cmd/rowanctl/output.go
@@ -13,7 +13,7 @@
 // noValue is printed in a column without a value.
 const noValue = "-"
 
-// tableRow is a row of a table. Its JSON form is printed with --json.
+// tableRow is a row of a table. With --json its JSON encoding is printed instead.
 type tableRow interface {
 	// cells returns the texts of the columns.
 	cells() []string
@@ -32,7 +32,7 @@
 	return table.Flush()
 }
 
-// printLines prints a value as JSON, or the lines as they are.
+// printLines prints the lines or, with --json, the value that they describe.
 func (s *session) printLines(value any, lines ...string) error {
 	if s.json {
 		return s.printJSON(value)
@@ -52,7 +52,7 @@
 	return encoder.Encode(value)
 }
 
-// writeCells writes a row into the table's buffer. Its errors are those that Flush returns.
+// writeCells writes a row into the table's buffer. Errors can be ignored, since Flush returns them.
 func writeCells(table *tabwriter.Writer, cells []string) {
 	_, _ = fmt.Fprintln(table, strings.Join(cells, "\t"))
 }
--- a/cmd/rowanctl/replicas.go
+++ b/cmd/rowanctl/replicas.go
@@ -14,7 +14,7 @@
 	replicaLearner = "learner"
 )
 
-// replicasCommand lists the replicas of the register: the voters, and the core members that are learners.
+// replicasCommand lists the replicas of the register: the voters, then the core members that are learners.
 type replicasCommand struct{}
 
 // replicaRow describes a replica.
@@ -77,7 +77,7 @@
 	return rows
 }
 
-// replicaKind returns the kind of a member's replica; empty for one without a replica, and while the voters
+// replicaKind returns the kind of a member's replica. It is empty for a member without a replica, and while the voters
 // are unknown.
 func replicaKind(report *introspect.Report, member state.Member) string {
 	if member.Role != state.RoleCore || len(report.Voters.Replicas) == 0 {
@@ -91,7 +91,7 @@
 	return replicaLearner
 }
 
-// memberAt returns the member with an address.
+// memberAt returns the member that has an internal address.
 func memberAt(report *introspect.Report, address string) (introspect.Member, bool) {
 	for _, member := range report.Members {
 		if member.Member.Address == address {
--- a/cmd/rowanctl/reports.go
+++ b/cmd/rowanctl/reports.go
@@ -14,11 +14,11 @@
 const (
 	// maxReportCalls bounds the concurrent calls to members.
 	maxReportCalls = 32
-	// reportTimeout bounds one of them.
+	// reportTimeout bounds one such call.
 	reportTimeout = 5 * time.Second
 )
 
-// firstReport returns the report of the first member address that answers.
+// firstReport returns the report of the first member that answers, called in the order of the addresses.
 func (s *session) firstReport(ctx context.Context, request introspect.Request) (*introspect.Report, error) {
 	if len(s.targets.members) == 0 {
 		return nil, errNoAddress
@@ -36,6 +36,7 @@
 	return nil, failures
 }
 
+// fetchReport fetches the report of the member at an address within reportTimeout.
 func fetchReport(ctx context.Context, client *rpc.Client, address string, request introspect.Request) (
 	*introspect.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -43,14 +44,14 @@
 	return introspect.Fetch(ctx, client, address, request)
 }
 
-// memberReport is the report of one member, or the error of its call.
+// memberReport is the report of one member, or the error of the call to it.
 type memberReport struct {
 	member introspect.Member
 	report *introspect.Report
 	err    error
 }
 
-// allReports fetches the reports of all members that the first one knows.
+// allReports fetches a report from each member that is listed in the report of the first member that answers.
 func (s *session) allReports(ctx context.Context) ([]memberReport, error) {
 	first, err := s.firstReport(ctx, introspect.Request{IncludeTables: true})
 	if err != nil {
--- a/cmd/rowanctl/rollout.go
+++ b/cmd/rowanctl/rollout.go
@@ -12,7 +12,7 @@
 	"rowanlink/serving/operator/client"
 )
 
-// rolloutCommand has the commands for roll-outs.
+// rolloutCommand groups the commands that begin or show roll-outs.
 type rolloutCommand struct {
 	Begin beginRolloutCommand `cmd:"" help:"Order that the traffic of a service be moved to a software version. It ends by itself: delivered, or returned if the version is worse."`
 	Show  showRolloutCommand  `cmd:"" help:"Show the newest roll-out of a service, and why it ended."`
@@ -46,10 +46,10 @@
 	Follow  bool   `help:"Show each change until the roll-out has ended, or for as long as --timeout allows."`
 }
 
-// followInterval is the time between two reads of a roll-out that is followed.
+// followInterval is the time between two reads of the roll-out with --follow.
 const followInterval = time.Second
 
-// stateInProgress is the state of a roll-out that hasn't ended.
+// stateInProgress is the state, as the operators' API names it, of a roll-out that hasn't ended.
 const stateInProgress = "in_transit"
 
 // Run implements the command.
@@ -58,14 +58,14 @@
 	if err != nil {
 		return err
 	}
-	var shown client.Rollout
+	var lastShown client.Rollout
 	for {
 		found, err := operator.Rollout(ctx, c.Service)
 		if err != nil {
 			return err
 		}
-		if found.State != shown.State || found.Step != shown.Step || found.Target != shown.Target {
-			shown = found
+		if found.State != lastShown.State || found.Step != lastShown.Step || found.Target != lastShown.Target {
+			lastShown = found
 			if err := s.printLines(found, rolloutLines(c.Service, found)...); err != nil {
 				return err
 			}
@@ -79,7 +79,7 @@
 	}
 }
 
-// rolloutLines describes a roll-out.
+// rolloutLines returns the lines that describe a roll-out of a service.
 func rolloutLines(service string, found client.Rollout) []string {
 	head := fmt.Sprintf("%s to %s: %s", service, found.Target, found.State)
 	if found.Step != "" {
@@ -94,15 +94,15 @@
 		lines = append(lines, fmt.Sprintf("reason: %s (%s)", found.Verdict.Reason, route))
 	}
 	lines = append(lines,
-		"target: "+answerLine(found.Verdict.Target),
-		"versions in force: "+answerLine(found.Verdict.Baseline))
+		"target: "+formatCounts(found.Verdict.Target),
+		"versions in force: "+formatCounts(found.Verdict.Baseline))
 	if len(found.Retired) > 0 {
 		lines = append(lines, "retired: "+strings.Join(found.Retired, ", "))
 	}
 	return lines
 }
 
-// answerLine describes counts of answers.
-func answerLine(counts client.AnswerCounts) string {
+// formatCounts returns a text with counts of answers.
+func formatCounts(counts client.AnswerCounts) string {
 	return fmt.Sprintf("%d answers, %d failed; %d timed, %d slow", counts.Answers, counts.Failed, counts.Timed, counts.Slow)
 }
--- a/cmd/rowanctl/settings.go
+++ b/cmd/rowanctl/settings.go
@@ -4,7 +4,7 @@
 	"rowanlink/serving/settings"
 )
 
-// settingsCommand groups the commands on settings files.
+// settingsCommand groups the commands for settings files.
 type settingsCommand struct {
 	Check settingsCheckCommand `cmd:"" help:"Validate a settings file."`
 }
--- a/cmd/rowanctl/targets.go
+++ b/cmd/rowanctl/targets.go
@@ -13,12 +13,12 @@
 // targets are the addresses that a command may call, host:port.
 type targets struct {
 	control []string // of the operators' API
-	members []string // of members that are asked what they know; core members answer that at their control address too
+	members []string // of members that report their state; core members do so at their control address too
 }
 
-// targets returns the addresses in the flags and, for what isn't set, those in the settings file: control addresses are
-// the seeds. Members are asked at the addresses of --member, else of --control, else at the internal addresses of the
-// settings file's own machine and its seeds.
+// targets returns the addresses that a command may call. The control addresses are those of --control, else the seeds
+// in the settings file. The members' addresses are those of --member, else those of --control, else the internal
+// addresses of the settings file's own machine and of its seeds.
 func (l *commandLine) targets() (targets, error) {
 	addresses := targets{control: l.Control, members: l.Member}
 	if len(addresses.members) == 0 {
@@ -48,7 +48,7 @@
 	return addresses, nil
 }
 
-// operatorClient returns a client of the operators' API. The error is errNoAddress.
+// operatorClient returns a client of the operators' API, or errNoAddress if there is no control address.
 func (s *session) operatorClient() (*client.Client, error) {
 	if len(s.targets.control) == 0 {
 		return nil, errNoAddress
--- a/cmd/rowanctl/versions.go
+++ b/cmd/rowanctl/versions.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// versionsCommand lists the record and configuration that each member has.
+// versionsCommand lists the versions of the record and of the configuration that each member has.
 type versionsCommand struct{}
 
-// versionRow describes the record and configuration of a member.
+// versionRow describes the record and the configuration of a member.
 type versionRow struct {
 	Member    string   `json:"member"`
 	Revision  uint64   `json:"revision"`
 	Version   uint64   `json:"version"`
 	Digest    string   `json:"digest"`
 	Evacuated []string `json:"evacuated"`
-	Error     string   `json:"error,omitempty"` // the member couldn't be called
+	Error     string   `json:"error,omitempty"` // why the member gave no report
 }
 
 func (r versionRow) cells() []string {
@@ -45,15 +45,15 @@
 	return printTable(s, []string{"MEMBER", "REVISION", "VERSION", "DIGEST", "EVACUATED"}, rows)
 }
 
-func newVersionRow(of memberReport) versionRow {
-	row := versionRow{Member: of.member.Member.Name}
-	if of.err != nil {
-		row.Error = of.err.Error()
+func newVersionRow(fetched memberReport) versionRow {
+	row := versionRow{Member: fetched.member.Member.Name}
+	if fetched.err != nil {
+		row.Error = fetched.err.Error()
 		return row
 	}
-	row.Revision = of.report.Revision
-	row.Version = of.report.Version
-	row.Digest = of.report.Digest.String()
-	row.Evacuated = of.report.Evacuated
+	row.Revision = fetched.report.Revision
+	row.Version = fetched.report.Version
+	row.Digest = fetched.report.Digest.String()
+	row.Evacuated = fetched.report.Evacuated
 	return row
 }
--- a/serving/event/event.go
+++ b/serving/event/event.go
@@ -1,6 +1,6 @@
 // Package event numbers the events that the programs of the serving system log. docs/log-events.md lists every number
 // with its message and what to do; a test of serving/catalogue compares the two. Each part of the system has its own
-// file and its own range of numbers.
+// file with a range of a hundred numbers.
 package event
 
 import (
