--- a/serving/operator/client/client_test.go
+++ b/serving/operator/client/client_test.go
@@ -16,7 +16,7 @@
 // unreachableAddress is an address that nothing listens on.
 const unreachableAddress = "127.0.0.1:1"
 
-// fakeCore records the calls that it gets and responds with a status and a body.
+// fakeCore records the calls that it gets and responds to each with the same status and body.
 type fakeCore struct {
 	calls  []string
 	status int
@@ -50,7 +50,8 @@
 		"POST /Clearance.Finish/z  "}, reachable.calls)
 }
 
-// TestClient_FinalResponses: after any other response the client tries the next member.
+// TestClient_FinalResponses: a final status ends the call; after any other error status the client tries the next
+// member.
 func TestClient_FinalResponses(t *testing.T) {
 	for status, isFinal := range map[int]bool{400: true, 404: true, 409: true, 412: true, 413: true, 422: true,
 		408: false, 429: false, 500: false, 503: false, 504: false} {
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -18,10 +18,11 @@
 	"rowanlink/serving/state"
 )
 
-// errNoMajority is an error of the register that leaves the record's state unknown.
+// errNoMajority is an error of the register that leaves open whether a change was committed.
 var errNoMajority = errors.New("no majority")
 
-// fakeRegister holds a record in memory. failAt and hangAt make the call of that number fail or hang.
+// fakeRegister holds a record in memory. failAt and hangAt make the calls with the given numbers, counted from 1, fail
+// or hang.
 type fakeRegister struct {
 	record      state.Record
 	changeError error // returned by each change
@@ -94,7 +95,8 @@
 	return f.record, f.enter(ctx)
 }
 
-// fakeReplicator records what is sent. The next failures calls of PutReplicated fail.
+// fakeReplicator records the endpoints that it is to send. As many of the next calls of PutReplicated as the field
+// failures says fail when their context ends.
 type fakeReplicator struct {
 	put        []state.Endpoint
 	replicated []state.Endpoint
@@ -133,7 +135,7 @@
 	return set
 }
 
-// fixture is a control address with a fake register and replicator and a real table of endpoints.
+// fixture holds the handler of a control address with a fake register and replicator and a real table of endpoints.
 type fixture struct {
 	register   *fakeRegister
 	replicator *fakeReplicator
--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -17,8 +17,9 @@
 	returnWindow = 10 * time.Second
 )
 
-// Forwarder chooses the core member that receives an endpoint's heartbeats: one in the endpoint's zone, else in its
-// region, so that heartbeats cross few links and always reach the same member. It is safe for concurrent use.
+// Forwarder chooses the core member that receives an endpoint's heartbeats: one in the endpoint's zone, else one in its
+// region, so that heartbeats stay within the zone or region where possible, and an endpoint's heartbeats always reach
+// the same member. It is safe for concurrent use.
 type Forwarder struct {
 	Self    state.Member
 	Regions map[string]string // region by zone
--- a/serving/operator/heartbeat.go
+++ b/serving/operator/heartbeat.go
@@ -11,7 +11,7 @@
 	"rowanlink/serving/state"
 )
 
-// isClosingByState maps each state that an endpoint may report to whether it rejects new requests.
+// isClosingByState holds the states that an endpoint may report, and whether the endpoint rejects new requests in them.
 var isClosingByState = map[string]bool{"accepting": false, "closing": true}
 
 // The fields of a heartbeat. Only those that a core member can't do without are required, since an endpoint whose
--- a/serving/operator/operator_test.go
+++ b/serving/operator/operator_test.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// TestHangingRegister_TimesOut makes each call of the register hang in turn.
+// TestHangingRegister_TimesOut makes each call of the register hang in turn. That call must be answered with 503 within
+// 2.5 seconds, and the others with 200.
 func TestHangingRegister_TimesOut(t *testing.T) {
 	calls := []struct{ method, path string }{
 		{"POST", "/Settings.Replace"}, {"POST", "/Settings.Amend"}, {"GET", "/Settings.Read"}, {"POST", "/Clearance.Begin/z1"},
