--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -51,7 +51,7 @@
 	}
 	departed := r.publishDepartures(saved)
 	if departed > 0 {
-		event.DeparturesKept.Log(r.log).Int("departed", departed).Send()
+		event.DeparturesPublished.Log(r.log).Int("departed", departed).Send()
 	}
 	if !r.awaitRecord(ctx) {
 		return saved
--- a/serving/core/releases.go
+++ b/serving/core/releases.go
@@ -20,9 +20,9 @@
 	})
 }
 
-// checkReleases returns errcode.RolloutReleases if another member runs a program of a release that doesn't know
-// roll-outs: a core member would write the record without them, and a proxy would send to the new version's endpoints as
-// to any other. Members that don't answer in time don't count.
+// checkReleases returns errcode.RolloutUnsupported if another member runs a program of a release that doesn't know
+// roll-outs: a core member would write the record without them, and a proxy would send to the new version's endpoints
+// as to any other. Members that don't answer in time don't count.
 func (c *coreProcess) checkReleases(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseCheckTimeout)
 	defer cancel()
@@ -45,11 +45,12 @@
 	return found
 }
 
-// checkRelease returns errcode.RolloutReleases if a member answers that not all programs of its machine know roll-outs.
+// checkRelease returns errcode.RolloutUnsupported if a member answers that not all programs of its machine know
+// roll-outs.
 func (c *coreProcess) checkRelease(ctx context.Context, name, address string) error {
 	response, err := rollout.SupportMethod.Call(ctx, c.client, address, &rollout.SupportRequest{})
 	if rpc.IsUnimplemented(err) || err == nil && !response.Supported {
-		return errcode.RolloutReleases.With("%s", name)
+		return errcode.RolloutUnsupported.With("%s", name)
 	}
 	return nil
 }
--- a/serving/endpoints/exchange/successors.go
+++ b/serving/endpoints/exchange/successors.go
@@ -48,9 +48,9 @@
 	warmupLeft := time.Duration(confirmed.WarmupLeftMillis) * time.Millisecond
 	registered, ok := x.table.ResolveSuccessor(successor.ID, err == nil, warmupLeft)
 	if !ok {
-		event.EndpointNotSucceeded.Log(x.log).Str("endpoint", successor.ID).Str("address", successor.Address).Err(err).Send()
+		event.SuccessorUnconfirmed.Log(x.log).Str("endpoint", successor.ID).Str("address", successor.Address).Err(err).Send()
 		return
 	}
 	x.Put(registered)
-	event.EndpointSucceeded.Log(x.log).Str("endpoint", registered.ID).Str("address", registered.Address).Send()
+	event.SuccessorRegistered.Log(x.log).Str("endpoint", registered.ID).Str("address", registered.Address).Send()
 }
--- a/serving/operator/operator.go
+++ b/serving/operator/operator.go
@@ -35,8 +35,8 @@
 )
 
 // Register reads and changes the replicated record. If the kind of an error has status 400 or 412, the committed record
-// rejects the change. BeginRollout's errors errcode.RolloutService and errcode.RolloutTooEarly mean the same. After any
-// other error the change may or may not have been committed.
+// rejects the change. BeginRollout's errors errcode.RolloutServiceUnknown and errcode.RolloutBeforeConfiguration mean
+// the same. After any other error the change may or may not have been committed.
 type Register interface {
 	// ReplaceConfiguration commits a configuration that replaces the one of version baseVersion (0: none yet). It also
 	// succeeds if the same configuration was committed before.
@@ -79,14 +79,14 @@
 	Replicator Replicator
 	Quorum     *quorum.Checker
 	Regions    map[string]string // region by zone: the zones that may be evacuated
-	// ForwardTo returns the control address to which the endpoint should send its next heartbeats; empty for no redirect.
-	// Forwarder.ForwardTo implements it. If nil, no endpoint is redirected.
+	// ForwardTo returns the control address to which the endpoint should send its next heartbeats; empty for no
+	// redirect. Forwarder.ForwardTo implements it. If nil, no endpoint is redirected.
 	ForwardTo func(id, zone string) string
 	// IsRecentRollout reports whether the roll-out with this OrderRevision may have been ordered so recently that its
 	// operator still retries the order. If nil, every roll-out counts as recent.
 	IsRecentRollout func(orderRevision uint64) bool
-	// CheckRollouts returns errcode.RolloutReleases while no roll-out may begin, because a member runs a release that
-	// doesn't know roll-outs. If nil, roll-outs may always begin.
+	// CheckRollouts returns errcode.RolloutUnsupported while no roll-out may begin, because a member runs a release
+	// that doesn't know roll-outs. If nil, roll-outs may always begin.
 	CheckRollouts func(ctx context.Context) error
 	Log           *zerolog.Logger
 }
@@ -119,7 +119,7 @@
 	mux.HandleFunc("POST /Endpoints.Beat/{id}", endpoint.Heartbeat)
 	mux.HandleFunc("POST /Endpoints.SignOff/{id}", endpoint.Deregister)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		event.CallUnknown.Log(options.Log).Str("method", r.Method).Str("path", r.URL.Path).Send()
+		event.ResourceUnknown.Log(options.Log).Str("method", r.Method).Str("path", r.URL.Path).Send()
 		writeError(w, errcode.ResourceUnknown.With("%s %s", r.Method, r.URL.Path))
 	})
 	return mux
--- a/serving/operator/rollout.go
+++ b/serving/operator/rollout.go
@@ -96,7 +96,8 @@
 
 // writeOrderError logs and responds with the error of an order. The order was rejected, or its outcome is in doubt.
 func (r *RolloutResource) writeOrderError(w http.ResponseWriter, order rollout.Order, err error) {
-	if errcode.RolloutService.Is(err) || errcode.RolloutTooEarly.Is(err) || errcode.RolloutReleases.Is(err) {
+	if errcode.RolloutServiceUnknown.Is(err) || errcode.RolloutBeforeConfiguration.Is(err) ||
+		errcode.RolloutUnsupported.Is(err) {
 		r.logOrder(event.RolloutRejected, order).Err(err).Send()
 		writeError(w, err)
 		return
@@ -105,7 +106,7 @@
 	writeError(w, changeError(err, errcode.ChangeInDoubt))
 }
 
-// checkReleases returns errcode.RolloutReleases if no roll-out may begin now.
+// checkReleases returns errcode.RolloutUnsupported if no roll-out may begin now.
 func (r *RolloutResource) checkReleases(ctx context.Context) error {
 	if r.checkRollouts == nil {
 		return nil
@@ -207,11 +208,11 @@
 	return order, nil
 }
 
-// checkService returns nil if a configuration names the service. Otherwise it returns errcode.RolloutTooEarly if there
-// is no configuration yet, or errcode.RolloutService.
+// checkService returns nil if a configuration names the service. Otherwise it returns
+// errcode.RolloutBeforeConfiguration if there is no configuration yet, or errcode.RolloutServiceUnknown.
 func checkService(configuration state.Configuration, service string) error {
 	if configuration.Version == 0 {
-		return errcode.RolloutTooEarly.With("%q", service)
+		return errcode.RolloutBeforeConfiguration.With("%q", service)
 	}
 	document, err := configuration.Decompress()
 	if err != nil {
@@ -222,7 +223,7 @@
 		return err
 	}
 	if _, found := table.Service(service); !found {
-		return errcode.RolloutService.With("%q", service)
+		return errcode.RolloutServiceUnknown.With("%q", service)
 	}
 	return nil
 }
--- a/serving/operator/rollout_test.go
+++ b/serving/operator/rollout_test.go
@@ -33,7 +33,7 @@
 		{"negative time", `{"carrier":"huvo11a","target":"v2","over_s":-3}`, 400, errcode.RolloutUnreadable.Code},
 		{"time is text", `{"carrier":"huvo11a","target":"v2","over_s":"soon"}`, 400, errcode.RolloutUnreadable.Code},
 		{"endless time", `{"carrier":"huvo11a","target":"v2","over_s":1e9}`, 400, errcode.RolloutUnreadable.Code},
-		{"unknown service", `{"carrier":"nobody","target":"v2","over_s":12}`, 404, errcode.RolloutService.Code},
+		{"unknown service", `{"carrier":"nobody","target":"v2","over_s":12}`, 404, errcode.RolloutServiceUnknown.Code},
 		{"too large", `{"carrier":"` + strings.Repeat("x", maxOrderBytes) + `"}`, 413, errcode.RequestTooLarge.Code},
 	} {
 		f := newFixture(t)
--- a/serving/rollout/transition_test.go
+++ b/serving/rollout/transition_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestBegin_RejectsWhatTheConfigurationDoesNotName(t *testing.T) {
-	rejected := errcode.RolloutService.With("s")
+	rejected := errcode.RolloutServiceUnknown.With("s")
 	_, err := Begin(orderOf("v2"), never, func(state.Configuration) error { return rejected })(state.Record{})
 	assert.ErrorIs(t, err, rejected)
 }
