--- a/serving/operator/forwarder.go
+++ b/serving/operator/forwarder.go
@@ -33,9 +33,9 @@
 
 // redirect is the last redirect of an endpoint.
 type redirect struct {
-	target   string // control address
-	at       time.Time
-	returned bool // the endpoint came back to this member, so it can't reach the target
+	target   string    // control address
+	at       time.Time // of the redirect or, once the endpoint has returned, of its return
+	returned bool      // the endpoint came back to this member, so it can't reach the target
 }
 
 // ForwardTo returns the control address to which an endpoint should send its next heartbeats: that of the chosen
