--- a/serving/core/releases.go
+++ b/serving/core/releases.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// checkReleases returns errcode.RolloutReleases if another member's machine runs a program of a release that doesn't
+// checkReleases returns errcode.RolloutUnsupported if another member's machine runs a program of a release that doesn't
 // support roll-outs. A core member of such a release would write the record without its roll-outs, and a proxy would
 // send requests to the new version's endpoints as to any other. Members that don't answer in time are ignored.
 func (c *coreProcess) checkReleases(ctx context.Context) error {
@@ -46,12 +46,12 @@
 	return unsupported
 }
 
-// checkRelease returns errcode.RolloutReleases if a member answers that a program of its machine doesn't support
+// checkRelease returns errcode.RolloutUnsupported if a member answers that a program of its machine doesn't support
 // roll-outs, or is itself of a release that doesn't serve the call.
 func (c *coreProcess) checkRelease(ctx context.Context, name, address string) error {
 	response, err := rollout.SupportMethod.Call(ctx, c.client, address, &rollout.SupportRequest{})
 	if rpc.IsUnimplemented(err) || err == nil && !response.Supported {
-		return errcode.RolloutReleases.With("%s", name)
+		return errcode.RolloutUnsupported.With("%s", name)
 	}
 	return nil
 }
--- a/serving/operator/fakes_test.go
+++ b/serving/operator/fakes_test.go
@@ -18,10 +18,11 @@
 	"rowanlink/serving/state"
 )
 
-// errNoMajority is an error of the register that leaves the record's state unknown.
+// errNoMajority is an error of the register that leaves open whether a change was committed.
 var errNoMajority = errors.New("no majority")
 
-// fakeRegister holds a record in memory. failAt and hangAt make the call of that number fail or hang.
+// fakeRegister holds a record in memory. failAt and hangAt make the calls with the given numbers, counted from 1, fail
+// or hang.
 type fakeRegister struct {
 	record      state.Record
 	changeError error // returned by each change
@@ -30,6 +31,7 @@
 	hangAt      map[int]bool
 }
 
+// enter counts a call and lets it fail or hang if that is planned for it.
 func (f *fakeRegister) enter(ctx context.Context) error {
 	f.calls++
 	if f.hangAt[f.calls] {
@@ -50,14 +52,14 @@
 	return nil
 }
 
-func (f *fakeRegister) AmendConfiguration(ctx context.Context, order Amendment) error {
+func (f *fakeRegister) AmendConfiguration(ctx context.Context, amendment Amendment) error {
 	if err := f.enter(ctx); err != nil {
 		return err
 	}
 	if f.changeError != nil {
 		return f.changeError
 	}
-	amended, err := order.Apply(f.record.Configuration)
+	amended, err := amendment.Apply(f.record.Configuration)
 	if err == nil {
 		f.record.Configuration = amended
 	}
@@ -93,14 +95,15 @@
 	return f.record, f.enter(ctx)
 }
 
-// fakeReplicator records what is sent. The next failures calls of PutReplicated fail.
+// fakeReplicator records the endpoints that it is to send. As many of the next calls of PutReplicated as the field
+// failures says fail when their context ends.
 type fakeReplicator struct {
 	put        []state.Endpoint
 	replicated []state.Endpoint
-	checked    []string       // successors
+	checked    []string       // ID and address of each successor check
 	targets    quorum.Targets // of the newest replication
 	failures   int
-	down       map[string]bool // by address
+	down       map[string]bool // members that aren't live, by address
 }
 
 func (f *fakeReplicator) Put(e state.Endpoint) { f.put = append(f.put, e) }
@@ -122,7 +125,7 @@
 
 func (f *fakeReplicator) isLive(address string) bool { return !f.down[address] }
 
-// fakeVoters is a set of voters.
+// fakeVoters holds the addresses of the voters.
 type fakeVoters []string
 
 func (f fakeVoters) Voters() (set state.ReplicaSet) {
@@ -132,7 +135,7 @@
 	return set
 }
 
-// fixture is a control address with a fake register and replicator and a real table of endpoints.
+// fixture holds the handler of a control address with a fake register and replicator and a real table of endpoints.
 type fixture struct {
 	register   *fakeRegister
 	replicator *fakeReplicator
