--- a/cluster/member/custody/incarnation.go
+++ b/cluster/member/custody/incarnation.go
@@ -13,7 +13,8 @@
 	incarnationBytes = 8
 )
 
-// readIncarnation reads the random number that identifies a folder, or creates it.
+// readIncarnation returns the random number that identifies a custody directory. It reads the number from the file at a
+// path, and creates the file with a new number if it is missing or damaged.
 func readIncarnation(path string) (uint64, error) {
 	raw, err := os.ReadFile(path)
 	if err == nil && len(raw) == incarnationBytes {
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,6 +1,10 @@
-// Package custody stores which member has custody of which webhook: for each webhook that was offered to or by another
-// member, a record in a journal of its own. A record is written before a member answers by it, so that each webhook has
-// one custodian whatever messages or processes are lost. The rules are those of shardmap.CustodyTable.
+// Package custody persists which member has custody of a webhook, that is, which member is responsible for delivering it.
+// There is one record for each webhook that this member offered to another member or was offered by one. The records are
+// in a journal of their own, apart from the journal of the webhooks. A record is written before the member sends a reply
+// that depends on it, so that each webhook has exactly one custodian, whatever messages or processes are lost.
+//
+// A webhook is in doubt while this member has offered it and doesn't know whether the other member has accepted it; until
+// that is known, nobody here calls its destination. The rules of the protocol are those of shardmap.CustodyTable.
 package custody
 
 import (
@@ -21,19 +25,20 @@
 
 // Store keeps the custody records of one member, in memory and in a journal. Its methods may be called concurrently.
 type Store struct {
-	// Incarnation identifies the folder: one that replaces a lost folder has another. It is never 0.
+	// Incarnation identifies the directory: a directory that replaces a lost one has another incarnation. It is never 0.
 	Incarnation uint64
 
 	mu          sync.Mutex
 	table       *shardmap.CustodyTable
 	journal     *wal.Log
-	entryIDs    map[shardmap.WebhookID]api.WebhookID // the journal's entry with each record
+	entryIDs    map[shardmap.WebhookID]api.WebhookID // ID of the journal entry that holds the webhook's record
 	lastEntryID api.WebhookID
-	retention   api.Micros // for which records outlast what they name, and the time between two expiries
-	lastExpiry  api.Micros
+	retention   api.Micros // how long a record is kept after its webhook's TTL; also the interval of expireRecords
+	lastExpiry  api.Micros // time of the last expireRecords
 }
 
-// IDOf returns the ID of a webhook in all members' custody records. Request IDs are never used twice.
+// IDOf returns the ID by which the custody records of all members identify a webhook. It is derived from the request ID,
+// which is never used twice.
 func IDOf(id inflight.RequestID) shardmap.WebhookID {
 	return shardmap.WebhookID{
 		Incarnation: xxhash.Sum64String(string(id)),
@@ -41,8 +46,9 @@
 	}
 }
 
-// Open reads the records that an earlier process left in a folder, which is created if it does not exist. isPending reports which
-// webhooks the dispatcher has recovered from its journal. Records outlast the TTL of what they name by retention.
+// Open reads the records that an earlier process left in a directory, which is created if it does not exist. isPending
+// reports whether the dispatcher has recovered a webhook from its own journal. Records are kept for retention after their
+// webhook's TTL. diskMB bounds the journal's size on disk.
 func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.WebhookID) bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -63,25 +69,26 @@
 	}
 	latest, err := s.readEntries()
 	if err != nil {
-		_ = journal.Close() // the first error counts
+		_ = journal.Close() // the earlier error is returned
 		return nil, err
 	}
 	records := make([]shardmap.CustodyRecord, 0, len(latest))
 	before := make([]SavedRecord, 0, len(latest))
-	for name, record := range latest {
+	for id, record := range latest {
 		records = append(records, record)
-		before = append(before, SavedRecord{Name: name, Record: record, Known: true})
+		before = append(before, SavedRecord{Name: id, Record: record, Known: true})
 	}
 	s.table = shardmap.NewCustodyTable(records, isPending)
-	// The recovered records are written at once: a later process, with other webhooks pending, might recover others.
+	// NewCustodyTable has adapted the records to the webhooks that are pending now. The result is written at once: a later
+	// process, with other webhooks pending, might come to other records.
 	if err := s.writeChanges(before); err != nil {
-		_ = journal.Close() // the first error counts
+		_ = journal.Close() // the earlier error is returned
 		return nil, err
 	}
 	return s, nil
 }
 
-// readEntries returns the last record of each name in the journal.
+// readEntries returns the latest record of each webhook in the journal.
 func (s *Store) readEntries() (map[shardmap.WebhookID]shardmap.CustodyRecord, error) {
 	latest := map[shardmap.WebhookID]shardmap.CustodyRecord{}
 	for _, entry := range s.journal.Entries() {
@@ -90,7 +97,7 @@
 			return nil, fmt.Errorf("record %d: %w", entry.ID, err)
 		}
 		if earlier, found := s.entryIDs[record.ID]; found {
-			// The process ended between the later entry and the end of the earlier one.
+			// The process ended after it had written the later entry and before it had finished the earlier one.
 			s.journal.Finish(earlier, nil)
 		}
 		latest[record.ID] = record
@@ -100,28 +107,29 @@
 	return latest, nil
 }
 
-// SavedRecord is a saved record, which CustodyTable.Rollback can restore.
+// SavedRecord is the custody record of a webhook at one time, to be restored by CustodyTable.Rollback.
 type SavedRecord struct {
 	Name   shardmap.WebhookID
 	Record shardmap.CustodyRecord
-	Known  bool // there was a record
+	Known  bool // the webhook had a record
 }
 
-// SaveRecord returns a name's record as it is now. Only functions that Update or UpdateUnsynced call may call it.
-func (s *Store) SaveRecord(name shardmap.WebhookID) SavedRecord {
-	record, known := s.table.Lookup(name)
-	return SavedRecord{Name: name, Record: record, Known: known}
+// SaveRecord returns the current record of a webhook. It may be called only within the function that is passed to Update
+// or UpdateUnsynced, where the table is locked.
+func (s *Store) SaveRecord(id shardmap.WebhookID) SavedRecord {
+	record, known := s.table.Lookup(id)
+	return SavedRecord{Name: id, Record: record, Known: known}
 }
 
-// Update calls change with the table locked, and writes the records of the names that it changed before it returns.
-// If that fails it restores the records and returns the error. change may only touch records of these names.
-func (s *Store) Update(names []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
+// Update calls change with the table locked, and writes the records that change has modified before it returns. If writing
+// fails, Update restores the records and returns the error. change may only modify records of the webhooks that are named.
+func (s *Store) Update(ids []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireRecords()
-	before := make([]SavedRecord, 0, len(names))
-	for _, name := range names {
-		before = append(before, s.SaveRecord(name))
+	before := make([]SavedRecord, 0, len(ids))
+	for _, id := range ids {
+		before = append(before, s.SaveRecord(id))
 	}
 	change(s.table)
 	err := s.writeChanges(before)
@@ -129,13 +137,14 @@
 		for _, saved := range before {
 			s.table.Rollback(saved.Name, saved.Record, saved.Known)
 		}
-		slog.Error("custody records not written", "webhooks", len(names), "error", err)
+		slog.Error("custody records not written", "webhooks", len(ids), "error", err)
 	}
 	return err
 }
 
-// UpdateUnsynced calls change with the table locked, without writing the records: after a restart, another member's
-// reply leads to the same change.
+// UpdateUnsynced calls change with the table locked and does not write the records. It is for changes that follow from
+// another member's reply: if they are lost in a restart, that member is queried again and its reply leads to the same
+// change.
 func (s *Store) UpdateUnsynced(change func(*shardmap.CustodyTable)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,55 +175,58 @@
 		err = s.journal.Commit()
 	}
 	if err != nil {
-		for _, id := range written { // the earlier entries stand
+		for _, id := range written { // the earlier entries stay valid
 			s.journal.Undo(id)
 		}
 		return err
 	}
-	for name, id := range written {
-		s.endEntry(name) // on disk with the next commit: until then the later one of two entries counts
-		s.entryIDs[name] = id
+	for id, entryID := range written {
+		s.endEntry(id) // reaches the disk with the next commit: until then readEntries prefers the later entry
+		s.entryIDs[id] = entryID
 	}
-	for _, name := range removed {
-		s.endEntry(name)
+	for _, id := range removed {
+		s.endEntry(id)
 	}
 	return nil
 }
 
-// endEntry ends the journal's entry with a name's record. The caller holds the lock.
-func (s *Store) endEntry(name shardmap.WebhookID) {
-	if id, found := s.entryIDs[name]; found {
-		s.journal.Finish(id, nil)
-		delete(s.entryIDs, name)
+// endEntry finishes the journal entry that holds a webhook's record. The caller holds the lock.
+func (s *Store) endEntry(id shardmap.WebhookID) {
+	if entryID, found := s.entryIDs[id]; found {
+		s.journal.Finish(entryID, nil)
+		delete(s.entryIDs, id)
 	}
 }
 
-// IsInDoubt reports whether another member may have a webhook that is pending here.
+// IsInDoubt reports whether a webhook that is pending here was offered to another member with an unknown outcome, so that
+// the other member may have it.
 func (s *Store) IsInDoubt(id inflight.RequestID) bool {
 	_, _, offered := s.PendingOffer(IDOf(id))
 	return offered
 }
 
-// PendingOffer returns the offer of a webhook whose outcome is not known, and its number; false: there is none.
-func (s *Store) PendingOffer(name shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
+// PendingOffer returns the offer of a webhook whose outcome is not known, and its hand-off number. It returns false if
+// there is no such offer.
+func (s *Store) PendingOffer(id shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.OutstandingOffer(name)
+	return s.table.OutstandingOffer(id)
 }
 
-// IsArriving reports whether a webhook is being accepted from another member.
-func (s *Store) IsArriving(name shardmap.WebhookID) bool {
+// IsArriving reports whether a webhook is being accepted from another member: its custody record is written, but it is not
+// yet confirmed to be in the webhook journal.
+func (s *Store) IsArriving(id shardmap.WebhookID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	record, _ := s.table.Lookup(name)
+	record, _ := s.table.Lookup(id)
 	return record.Arriving
 }
 
-// NextHandoff returns the number of the next offer of a webhook.
-func (s *Store) NextHandoff(name shardmap.WebhookID) shardmap.HandoffNumber {
+// NextHandoff returns the hand-off number of the next offer of a webhook.
+func (s *Store) NextHandoff(id shardmap.WebhookID) shardmap.HandoffNumber {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.NextHandoff(name)
+	return s.table.NextHandoff(id)
 }
 
 // PendingByMove counts the offers by a move whose outcome is not known.
@@ -224,7 +236,8 @@
 	return s.table.CountOffersOfMove(move)
 }
 
-// expireRecords removes, once in each retention, records that no message can refer to any more. The caller holds the lock.
+// expireRecords removes the records that no message can refer to any more. It does so at most once per retention. The
+// caller holds the lock.
 func (s *Store) expireRecords() {
 	now := inflight.Now()
 	if now-s.lastExpiry < s.retention {
@@ -232,12 +245,12 @@
 	}
 	s.lastExpiry = now
 	s.table.Expire(now, s.retention)
-	for name := range s.entryIDs {
-		if _, known := s.table.Lookup(name); !known {
-			s.endEntry(name)
+	for id := range s.entryIDs {
+		if _, known := s.table.Lookup(id); !known {
+			s.endEntry(id)
 		}
 	}
 }
 
-// Close closes the journal; its folder stays.
+// Close closes the journal. The directory and its records remain for the next Open.
 func (s *Store) Close() error { return s.journal.Close() }
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -17,14 +17,14 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// openStore opens a store as a process does whose dispatcher has recovered some webhooks.
+// openStore opens a store as a process does at its start whose dispatcher has recovered the given webhooks.
 func openStore(t *testing.T, dir string, diskMB float64, recovered ...inflight.RequestID) *Store {
 	t.Helper()
 	s, err := Open(dir, diskMB, api.Second, func(id shardmap.WebhookID) bool {
 		return slices.ContainsFunc(recovered, func(r inflight.RequestID) bool { return IDOf(r) == id })
 	})
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = s.Close() }) // a later store has opened the same folder by then
+	t.Cleanup(func() { _ = s.Close() }) // may fail: a later store may have opened the same directory
 	return s
 }
 
@@ -36,8 +36,8 @@
 	require.NoError(t, err)
 }
 
-// The doubt about a webhook survives a restart, unless the webhook has ended here meanwhile, and so do replies to queries:
-// otherwise two members would call for it.
+// A webhook in doubt is still in doubt after a restart, unless it has ended here meanwhile, and replies to custody queries
+// remain binding. Otherwise two members could deliver the webhook.
 func TestStore_RecoversRecordsAfterRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
@@ -55,11 +55,11 @@
 		reply, _ := table.HandleOffer(id, 4, ttl, inflight.Now(), true)
 		assert.Equal(t, shardmap.CustodyNever, reply, "a reply CustodyNever is binding")
 	})
-	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a new folder has another incarnation")
+	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a new directory has another incarnation")
 }
 
-// A process that crashes while it accepts webhooks leaves records of both kinds: of webhooks that are in the webhook
-// journal, and of those that are not. Queries are answered by what the journal has.
+// A process that crashes while it accepts webhooks may leave custody records of webhooks that are in the webhook journal
+// and of webhooks that are not. After the restart, replies to custody queries depend on whether the journal has the webhook.
 func TestStore_RecoversFromCrashDuringAcceptance(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
@@ -84,7 +84,7 @@
 	}
 }
 
-// An update that can't be written changes nothing: a reply by it would have no record.
+// An update that can't be written changes nothing: otherwise the member could send a reply that it has no record of.
 func TestStore_FailedUpdateIsRolledBack(t *testing.T) {
 	s, ttl := openStore(t, t.TempDir(), 0.01), inflight.Now()+90*api.Second
 	var err error
@@ -101,14 +101,14 @@
 	assert.Error(t, err, "the journal was never full")
 }
 
-// openFilesBelow returns the files of a folder that this process has open.
+// openFilesBelow returns the files below a directory that this process has open.
 func openFilesBelow(t *testing.T, dir string) (files []string) {
 	t.Helper()
 	descriptors, err := os.ReadDir("/proc/self/fd")
 	require.NoError(t, err)
 	for _, d := range descriptors {
 		target, err := os.Readlink(filepath.Join("/proc/self/fd", d.Name()))
-		if err == nil && strings.HasPrefix(target, dir) { // else it was closed since
+		if err == nil && strings.HasPrefix(target, dir) { // else the file was closed meanwhile
 			files = append(files, target)
 		}
 	}
@@ -128,8 +128,8 @@
 	assert.Empty(t, openFilesBelow(t, dir))
 }
 
-// TestOpen_ClosesJournalOnFailedWrite opens a folder with records that change at the start, as their webhooks aren't
-// pending any more, where the disk has no room for the changes.
+// TestOpen_ClosesJournalOnFailedWrite opens a directory whose records have to be rewritten, since their webhooks are no
+// longer pending, with a disk limit that is too small for that.
 func TestOpen_ClosesJournalOnFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir, 1)
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -1,8 +1,10 @@
 // Package ownership reconciles a member with the shard map: it caches the map, acquires the leases of the ranges that the
-// map assigns to the member, confirms the grants by which it serves, and releases ranges that move elsewhere once no call
-// or webhook of theirs is left here. Manager.Decide returns what the member does with a webhook.
+// map assigns to the member, confirms in the map the lease grants by which the member serves these ranges, and releases
+// the lease of a range that moves to another member once no call of the range is in flight and no webhook of it is
+// pending here. Manager.Decide returns what the member does with a webhook.
 //
-// The rules are those of package shardmap; this package adds the session, the clock and the proposals.
+// Package shardmap has the rules. This package applies them to the member's session and clock, and proposes the commands
+// that follow.
 package ownership
 
 import (
@@ -17,66 +19,70 @@
 	"rowanlink/webhook/api"
 )
 
-// LocalWork counts what the member's dispatcher has in flight and pending.
+// LocalWork reports the calls in flight and the pending webhooks of the member's dispatcher.
 type LocalWork interface {
-	// CallsInFlight counts the calls to destinations of a range, misplaced ones included.
+	// CallsInFlight counts the calls in flight to destinations of a range, including misplaced destinations: those now
+	// placed in another range that may still be served by this range's lease.
 	CallsInFlight(shardmap.Range) int
+	// CallsInFlightTo counts the calls in flight to the destinations.
 	CallsInFlightTo([]api.DestinationID) int
 	// PendingWebhooks counts the webhooks of a range that are still to be handed off.
 	PendingWebhooks(shardmap.Range) int
-	// StateTransferred reports whether the target of the range's move has the learned state of its destinations.
+	// StateTransferred reports whether the target of the range's move has received the state that this member learned
+	// about the range's destinations, such as their health.
 	StateTransferred(shardmap.Range) bool
-	// InDoubt counts the webhooks that the other member of a move may have.
+	// InDoubt counts the webhooks that were offered to the other member of a move with an unknown outcome.
 	InDoubt(shardmap.MoveID) int
 }
 
-// Config is what a Manager is made from.
+// Config holds the settings and dependencies of a Manager.
 type Config struct {
 	Self     cluster.MemberID
 	LeaseTTL api.Micros
 	Clock    func() api.Micros // monotonic
-	// HandoffBatch is the most webhooks of one hand-off message: a range is closed for its switch once no more are
-	// pending.
+	// HandoffBatch is the maximum number of webhooks in one hand-off message. A range is closed for the switch of its
+	// move once at most this many webhooks are pending.
 	HandoffBatch int
 	OnChange     func() // schedules a Reconcile; must not block
 }
 
-// Manager acquires, confirms and releases the member's ranges by the shard map. Its methods may be called concurrently.
+// Manager acquires, confirms and releases the member's ranges as the shard map requires. Its methods may be called
+// concurrently.
 type Manager struct {
 	Config
 	session *session.Session
 	local   LocalWork
 
 	shardMap      atomic.Pointer[shardmap.Map]
-	inactiveSince atomic.Int64 // by Clock, since when no session is open; api.Never while one is
-	isolated      atomic.Bool  // at the last TrackSession
+	inactiveSince atomic.Int64 // time by Clock since which no session is active; api.Never while one is active
+	isolated      atomic.Bool  // result of isIsolated at the last TrackSession
 
 	reconcileMu sync.Mutex          // one Reconcile at a time
 	unconfirmed steplog.Unconfirmed // guarded by reconcileMu
 
-	// admissionMu is held for reading from the admission of a webhook until it is in the journal, and for writing
-	// while a range is closed.
-	admissionMu sync.RWMutex
-	closures    sync.Map // cluster.RangeID to closure
+	// admissionMu is read-locked from the decision to admit a webhook until the webhook is in the journal, and
+	// write-locked while closeAdmission marks a range as closed.
+	admissionMu  sync.RWMutex
+	closedRanges sync.Map // from cluster.RangeID to closedRange
 }
 
-// New returns a Manager without a map. Bind and Start have to be called before all other methods but Decide.
+// New returns a Manager that has no shard map yet. Bind and Start must be called before any other method except Decide.
 func New(c Config) *Manager {
 	m := &Manager{Config: c}
 	m.inactiveSince.Store(int64(c.Clock()))
 	return m
 }
 
-// Bind sets the source of the dispatcher's work.
+// Bind sets the LocalWork that reports the dispatcher's calls and webhooks.
 func (m *Manager) Bind(local LocalWork) { m.local = local }
 
-// Start sets the session by which ranges are owned.
+// Start sets the session that holds the leases of the member's ranges. The session is already running.
 func (m *Manager) Start(s *session.Session) { m.session = s }
 
-// Map returns the cached shard map; nil: none yet.
+// Map returns the cached shard map, or nil if none has been received yet.
 func (m *Manager) Map() *shardmap.Map { return m.shardMap.Load() }
 
-// ApplySnapshot replaces the cached shard map unless it is newer than the snapshot.
+// ApplySnapshot replaces the cached shard map by a snapshot, unless the cached map is newer than the snapshot.
 func (m *Manager) ApplySnapshot(snapshot []byte) {
 	next := shardmap.New(nil)
 	if err := next.Restore(snapshot); err != nil {
@@ -90,7 +96,8 @@
 	m.OnChange()
 }
 
-// TrackSession records since when no session is open. It has to be called often.
+// TrackSession records the time at which the session is first seen inactive, and logs when isolation begins or ends. The
+// caller calls it at short intervals, since the recorded time is that of the call.
 func (m *Manager) TrackSession() {
 	if m.session.IsActive() {
 		m.inactiveSince.Store(int64(api.Never))
@@ -100,7 +107,8 @@
 	m.logIsolation()
 }
 
-// logIsolation logs when this member begins or ends to call for webhooks whose owner it can't reach.
+// logIsolation logs when isolation begins or ends. While isolated, this member calls destinations whose owner it can't
+// reach.
 func (m *Manager) logIsolation() {
 	isolated := m.isIsolated()
 	if m.isolated.Swap(isolated) == isolated {
@@ -113,12 +121,14 @@
 	slog.Info("isolation over", "member", m.Self)
 }
 
-// isIsolated reports whether possibly no range has a serving owner.
+// isIsolated reports whether this member has to assume that no range has a serving owner
+// (shardmap.IsolationSuspected).
 func (m *Manager) isIsolated() bool {
 	return shardmap.IsolationSuspected(api.Micros(m.inactiveSince.Load()), m.Clock(), m.LeaseTTL)
 }
 
-// LocalMember returns this member as the shard map's rules see it: the leases that it holds and whether it is isolated.
+// LocalMember returns what the shard map's rules need to know about this member: its ID, the leases that it holds and
+// whether it is isolated.
 func (m *Manager) LocalMember() shardmap.LocalMember {
 	return shardmap.LocalMember{
 		Member:    m.Self,
@@ -133,7 +143,7 @@
 	return held
 }
 
-// Decide returns what this member does now with webhooks of a destination.
+// Decide returns what this member does now with webhooks of a destination. Before the first shard map it is to park them.
 func (m *Manager) Decide(destination api.DestinationID) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
@@ -142,7 +152,7 @@
 	return shardMap.DecideDestination(m.LocalMember(), destination)
 }
 
-// DecideForKey is Decide for a key hash.
+// DecideForKey is Decide for the range that contains a key hash.
 func (m *Manager) DecideForKey(key cluster.KeyHash) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -12,8 +12,9 @@
 	"rowanlink/cluster/transport"
 )
 
-// Reconcile acquires, confirms, releases and clears by the shard map and the leases held. It is called whenever one of
-// them has changed, and periodically, as a proposal may have been lost.
+// Reconcile compares the shard map with the leases that this member holds. It acquires and releases leases, and proposes
+// to confirm owners and placements, to switch moves and to clear them, as far as that is due. It is called whenever the
+// map or the leases have changed, and also periodically, because a proposal may have been lost.
 func (m *Manager) Reconcile() {
 	m.reconcileMu.Lock()
 	defer m.reconcileMu.Unlock()
@@ -37,7 +38,8 @@
 	}
 }
 
-// reconcileRange acquires, confirms or releases one range.
+// reconcileRange takes the next step that is due for one range: it acquires or releases the lease, confirms this member
+// as the owner, switches the move, or clears it.
 func (m *Manager) reconcileRange(p *proposer, shardMap *shardmap.Map, r shardmap.Range) {
 	p.unconfirmed.Confirm(r)
 	resource := cluster.RangeOwnerResource(r.ID)
@@ -60,20 +62,22 @@
 	}
 }
 
-// mayRelease reports whether a range whose lease is held may have to be released; only then its calls are counted.
+// mayRelease reports whether a range whose lease is held may have to be released. Calls and pending webhooks are counted
+// only for such ranges.
 func (m *Manager) mayRelease(r shardmap.Range) bool {
 	return !r.ShouldAcquire(m.Self) || r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 }
 
-// releaseRange releases a range that moves elsewhere, as soon as it may. The range is closed first, so that the next call
-// counts all webhooks that were admitted.
+// releaseRange releases the lease of a range as soon as that is allowed. The source of a move first closes the range, and
+// releases it at the earliest in the next call: that call counts all webhooks that were admitted before the range was
+// closed.
 func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Resource, epoch cluster.Epoch) {
 	inFlight, pending := m.local.CallsInFlight(r), m.local.PendingWebhooks(r)
 	mayClose := m.local.StateTransferred(r) && r.ShouldCloseIntake(m.Self, inFlight, pending, m.HandoffBatch)
 	if mayClose && m.closeAdmission(r) {
 		return
 	}
-	c, closed := m.closureOf(r.ID)
+	c, closed := m.lookupClosed(r.ID)
 	closed = closed && c.move == r.Move.ID
 	isSource := r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 	if r.ShouldRelease(m.Self, inFlight, pending) && (closed || !isSource) {
@@ -82,9 +86,9 @@
 	}
 }
 
-// ReleaseMergedRanges releases the leases of ranges that were merged into others. While such a lease is held the merged
-// range can't move, since its holder may still serve that part by an older map. Ranges are acquired only by the map, so
-// one that the map doesn't have was merged.
+// ReleaseMergedRanges releases the leases of ranges that were merged into others. The range that absorbed such a range
+// can't move while the lease is held, since the holder may still serve the absorbed part by an older map. This member
+// requests only leases of ranges that are in the map, so a range that is no longer in the map was merged.
 func (m *Manager) ReleaseMergedRanges() {
 	shardMap := m.Map()
 	if shardMap == nil {
@@ -102,7 +106,8 @@
 	}
 }
 
-// clearMove proposes to clear this member's side of a move that has switched, once it has nothing in doubt by the move.
+// clearMove proposes to clear this member's side of a move that has switched, once no webhook is in doubt that this
+// member offered by the move.
 func (m *Manager) clearMove(p *proposer, r shardmap.Range) {
 	move := r.Move
 	mustClear := move.From == m.Self && !move.SourceCleared || move.To == m.Self && !move.TargetCleared
@@ -111,7 +116,7 @@
 	}
 }
 
-// isCleared returns whether a range shows that this member's side of a move was cleared.
+// isCleared returns a function that reports whether a range of the map shows this member's side of a move as cleared.
 func (m *Manager) isCleared(move shardmap.Move) func(shardmap.Range) bool {
 	return func(now shardmap.Range) bool {
 		hasEnded := now.Move.ID != move.ID
@@ -121,15 +126,17 @@
 	}
 }
 
-// proposer proposes commands until the first one without a leader's response. The others are left to the next Reconcile:
-// otherwise one Reconcile would wait for a time-out for each of many ranges while leases expire.
+// proposer proposes the commands of one Reconcile. After the first proposal that no leader responds to it proposes
+// nothing more and leaves the rest to the next Reconcile: otherwise a single Reconcile would wait for one time-out per
+// range while leases expire.
 type proposer struct {
-	session     *session.Session
-	unconfirmed *steplog.Unconfirmed
-	unreached   bool
+	session         *session.Session
+	unconfirmed     *steplog.Unconfirmed
+	leaderUnreached bool // no leader responded to an earlier proposal
 }
 
-// proposeStep is propose for a step of the range's move. One with an unknown outcome is logged once isTaken shows it.
+// proposeStep proposes a step of the range's move and logs it as event. If the outcome of the proposal is unknown, the
+// step is logged later, once isTaken reports that the map shows it as taken.
 func (p *proposer) proposeStep(event string, r shardmap.Range, isTaken func(shardmap.Range) bool,
 	command cluster.Command) {
 	switch err := p.propose(event, r, command); {
@@ -140,10 +147,10 @@
 	}
 }
 
-// propose proposes a command for one range and logs it as event. A rejection means that the map has changed meanwhile:
-// the next Reconcile uses the newer one. The error says why the command may have had no effect.
+// propose proposes a command for one range and logs it as event. A rejected command means that the map has changed
+// meanwhile; the next Reconcile uses the newer map. After an error the command has had no effect, or may have had none.
 func (p *proposer) propose(event string, r shardmap.Range, command cluster.Command) error {
-	if p.unreached {
+	if p.leaderUnreached {
 		return transport.ErrNotSent
 	}
 	if _, err := p.session.Propose(command); err != nil {
@@ -152,7 +159,7 @@
 			level = slog.LevelDebug
 		}
 		slog.Log(context.Background(), level, "proposal failed: "+event, "range", r.ID, "error", err)
-		p.unreached = session.IsLeaderUnreached(err)
+		p.leaderUnreached = session.IsLeaderUnreached(err)
 		return err
 	}
 	slog.Info(event, "range", r.ID, "move", r.Move.ID)
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -17,10 +17,10 @@
 
 const (
 	leaseTTL    = api.Second
-	longTimeout = 20 * time.Second // more than anything takes, on a busy machine too
+	longTimeout = 20 * time.Second // longer than any awaited condition takes, also on a busy machine
 )
 
-// idle is LocalWork with nothing of any range.
+// idle is a LocalWork without calls in flight, pending webhooks or webhooks in doubt.
 type idle struct{}
 
 func (idle) CallsInFlight(shardmap.Range) int        { return 0 }
@@ -29,7 +29,8 @@
 func (idle) StateTransferred(shardmap.Range) bool    { return true }
 func (idle) InDoubt(shardmap.MoveID) int             { return 0 }
 
-// newIdleManager returns the manager of member a0, with nothing in flight or pending, its session and the fake leader.
+// newIdleManager returns the manager of member "a0" with nothing in flight or pending, its session, and the fake leader
+// of the session.
 func newIdleManager(t *testing.T) (*Manager, *session.Session, *raftleader.Leader) {
 	t.Helper()
 	leader := raftleader.Start(t, leaseTTL, session.MaxConnections(1), raftleader.ReplyTruthfully)
@@ -58,7 +59,8 @@
 	}, longTimeout, time.Millisecond)
 }
 
-// Without a leader, Reconcile waits for one time-out, not one for each range: meanwhile it would release none.
+// Guards against a Reconcile that waits for one time-out per range while no leader responds: the last range, which this
+// member has to release, would stay held meanwhile.
 func TestReconcile_StopsProposingWithoutLeader(t *testing.T) {
 	m, s, leader := newIdleManager(t)
 	shardMap := shardmap.New(nil)
@@ -76,8 +78,8 @@
 	require.False(t, m.HoldsRange(last.ID))
 }
 
-// A member that had been the owner was granted the lease by an earlier request, after it had released the range for
-// another member. It releases the late grant at once: otherwise the move's target could never acquire the lease.
+// A member that has given a range up to another member is granted the range's lease late, by an earlier request. It must
+// release the late grant at once: otherwise the target of the range's current move could never acquire the lease.
 func TestReconcile_ReleasesLateGrantDuringHandoff(t *testing.T) {
 	m, s, _ := newIdleManager(t)
 	acquire(t, s, 1)
