--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -17,8 +17,8 @@
 // planName is how errors and the log name the plan's text.
 const planName = "plan"
 
-// remainingMembers returns the members that the running plan does not drain, so that no range is failed over to a member
-// whose steps are done already. If none of them is alive it returns all members.
+// remainingMembers returns the members that the running plan does not drain, so that no range is failed over to a
+// member whose steps are done already. If none of them is alive it returns all members.
 func (c *Coordinator) remainingMembers(members []shardmap.Candidate,
 	alive map[cluster.MemberID]bool) (remaining []shardmap.Candidate) {
 	if c.runningPlan() == 0 {
--- a/cluster/member/custody/compatibility_test.go
+++ b/cluster/member/custody/compatibility_test.go
@@ -12,9 +12,9 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// TestCompatibility_CustodyFolder reads a custody directory written by release 63a0b91. If an upgrade lost the record of a
-// webhook in doubt, or of a binding reply, two members could deliver the webhook. The webhook "ended" is not pending in
-// this test, so its record loses the offer when it is recovered.
+// TestCompatibility_CustodyFolder reads a custody directory written by release 63a0b91. If an upgrade lost the record
+// of a webhook in doubt, or of a binding reply, two members could deliver the webhook. The webhook "ended" is not
+// pending in this test, so its record loses the offer when it is recovered.
 func TestCompatibility_CustodyFolder(t *testing.T) {
 	const (
 		incarnation = uint64(17660094067705403347)
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,10 +1,11 @@
-// Package custody persists which member has custody of a webhook, that is, which member is responsible for delivering it.
-// There is one record for each webhook that this member offered to another member or was offered by one. The records are
-// in a journal of their own, apart from the journal of the webhooks. A record is written before the member sends a reply
-// that depends on it, so that each webhook has exactly one custodian, whatever messages or processes are lost.
+// Package custody persists which member has custody of a webhook, that is, which member is responsible for delivering
+// it. There is one record for each webhook that this member offered to another member or was offered by one. The
+// records are in a journal of their own, apart from the journal of the webhooks. A record is written before the member
+// sends a reply that depends on it, so that each webhook has exactly one custodian, whatever messages or processes are
+// lost.
 //
-// A webhook is in doubt while this member has offered it and doesn't know whether the other member has accepted it; until
-// that is known, nobody here calls its destination. The rules of the protocol are those of shardmap.CustodyTable.
+// A webhook is in doubt while this member has offered it and doesn't know whether the other member has accepted it;
+// until that is known, nobody here calls its destination. The rules of the protocol are those of shardmap.CustodyTable.
 package custody
 
 import (
@@ -37,8 +38,8 @@
 	lastExpiry  api.Micros // time of the last expireRecords
 }
 
-// IDOf returns the ID by which the custody records of all members identify a webhook. It is derived from the request ID,
-// which is never used twice.
+// IDOf returns the ID by which the custody records of all members identify a webhook. It is derived from the request
+// ID, which is never used twice.
 func IDOf(id inflight.RequestID) shardmap.WebhookID {
 	return shardmap.WebhookID{
 		Incarnation: xxhash.Sum64String(string(id)),
@@ -47,8 +48,8 @@
 }
 
 // Open reads the records that an earlier process left in a directory, which is created if it does not exist. isPending
-// reports whether the dispatcher has recovered a webhook from its own journal. Records are kept for retention after their
-// webhook's TTL. diskMB bounds the journal's size on disk.
+// reports whether the dispatcher has recovered a webhook from its own journal. Records are kept for retention after
+// their webhook's TTL. diskMB bounds the journal's size on disk.
 func Open(dir string, diskMB float64, retention api.Micros, isPending func(shardmap.WebhookID) bool) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -114,15 +115,16 @@
 	Known  bool // the webhook had a record
 }
 
-// SaveRecord returns the current record of a webhook. It may be called only within the function that is passed to Update
-// or UpdateUnsynced, where the table is locked.
+// SaveRecord returns the current record of a webhook. It may be called only within the function that is passed to
+// Update or UpdateUnsynced, where the table is locked.
 func (s *Store) SaveRecord(id shardmap.WebhookID) SavedRecord {
 	record, known := s.table.Lookup(id)
 	return SavedRecord{Name: id, Record: record, Known: known}
 }
 
-// Update calls change with the table locked, and writes the records that change has modified before it returns. If writing
-// fails, Update restores the records and returns the error. change may only modify records of the webhooks that are named.
+// Update calls change with the table locked, and writes the records that change has modified before it returns. If
+// writing fails, Update restores the records and returns the error. change may only modify records of the webhooks that
+// are named.
 func (s *Store) Update(ids []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +177,8 @@
 		err = s.journal.Commit()
 	}
 	if err != nil {
-		for _, id := range written { // the earlier entries stay valid
-			s.journal.Undo(id)
+		for _, entryID := range written { // the earlier entries stay valid
+			s.journal.Undo(entryID)
 		}
 		return err
 	}
@@ -198,8 +200,8 @@
 	}
 }
 
-// IsInDoubt reports whether a webhook that is pending here was offered to another member with an unknown outcome, so that
-// the other member may have it.
+// IsInDoubt reports whether a webhook that is pending here was offered to another member with an unknown outcome, so
+// that the other member may have it.
 func (s *Store) IsInDoubt(id inflight.RequestID) bool {
 	_, _, offered := s.PendingOffer(IDOf(id))
 	return offered
@@ -213,8 +215,8 @@
 	return s.table.OutstandingOffer(id)
 }
 
-// IsArriving reports whether a webhook is being accepted from another member: its custody record is written, but it is not
-// yet confirmed to be in the webhook journal.
+// IsArriving reports whether a webhook is being accepted from another member: its custody record is written, but it is
+// not yet confirmed to be in the webhook journal.
 func (s *Store) IsArriving(id shardmap.WebhookID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/custody/store_test.go
+++ b/cluster/member/custody/store_test.go
@@ -36,8 +36,8 @@
 	require.NoError(t, err)
 }
 
-// A webhook in doubt is still in doubt after a restart, unless it has ended here meanwhile, and replies to custody queries
-// remain binding. Otherwise two members could deliver the webhook.
+// A webhook in doubt is still in doubt after a restart, unless it has ended here meanwhile, and replies to custody
+// queries remain binding. Otherwise two members could deliver the webhook.
 func TestStore_RecoversRecordsAfterRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
@@ -58,8 +58,9 @@
 	assert.NotEqual(t, s.Incarnation, openStore(t, t.TempDir(), 1).Incarnation, "a new directory has another incarnation")
 }
 
-// A process that crashes while it accepts webhooks may leave custody records of webhooks that are in the webhook journal
-// and of webhooks that are not. After the restart, replies to custody queries depend on whether the journal has the webhook.
+// A process that crashes while it accepts webhooks may leave custody records of webhooks that are in the webhook
+// journal and of webhooks that are not. After the restart, replies to custody queries depend on whether the journal has
+// the webhook.
 func TestStore_RecoversFromCrashDuringAcceptance(t *testing.T) {
 	dir, ttl := t.TempDir(), inflight.Now()+90*api.Second
 	s := openStore(t, dir, 1)
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarding forwards webhooks to the owner of their range: a Forwarder offers those that clients submit to this
-// member, a Receiver accepts those that other members forward or hand off.
+// Package forwarding forwards webhooks to the owner of their range: a Forwarder offers those that clients submit to
+// this member, a Receiver accepts those that other members forward or hand off.
 package forwarding
 
 import (
@@ -77,8 +77,8 @@
 }
 
 // Forward forwards a client's webhook to the owner of its range and returns that member's response. A webhook that the
-// owner can't accept is accepted here and parked until it can be handed off. It is in the custody of the one member that
-// has it in its journal.
+// owner can't accept is accepted here and parked until it can be handed off. It is in the custody of the one member
+// that has it in its journal.
 func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
 	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/hopDivisor
 	for {
@@ -103,8 +103,8 @@
 	}
 }
 
-// localAcceptance tells whether a webhook was accepted here, with the response to its client, and else the decision about
-// it.
+// localAcceptance tells whether a webhook was accepted here, with the response to its client, and else the decision
+// about it.
 type localAcceptance struct {
 	accepted   bool
 	answer     inflight.Answer
@@ -164,8 +164,9 @@
 	}
 }
 
-// keepInDoubt keeps a webhook here that its owner may have. This member makes no call for it until the doubt is resolved,
-// also after a restart. If the custody record can't be written, the webhook is journalled as one that may have run.
+// keepInDoubt keeps a webhook here that its owner may have. This member makes no call for it until the doubt is
+// resolved, also after a restart. If the custody record can't be written, the webhook is journalled as one that may
+// have run.
 func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
 	offer shardmap.Offer) forwardResult {
 	slog.Warn("webhook in doubt: its owner did not answer", "webhook", w.RequestID, "owner", offer.To)
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -38,8 +38,9 @@
 // member is their owner.
 func (r *Receiver) HandleTransfer(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitHandoff) }
 
-// admitByMap admits webhooks that this member owns by its map. As the source of a move that has released the range, or is
-// about to, it rejects them: the next webhook of the key, sent to the target, would overtake them. The sender keeps them.
+// admitByMap admits webhooks that this member owns by its map. As the source of a move that has released the range, or
+// is about to, it rejects them: the next webhook of the key, sent to the target, would overtake them. The sender keeps
+// them.
 func (r *Receiver) admitByMap(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
 	shardMap := r.Ownership.Map()
 	if shardMap == nil {
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -9,11 +9,13 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// batch is sent to one peer: offers of webhooks, by move and in the order accepted, and queries for webhooks in doubt.
+// batch is what one Run sends to one peer: offers of webhooks, grouped by move and in the order accepted, and custody
+// queries for webhooks in doubt.
 type batch struct {
-	moves   []shardmap.MoveID // in the order of their first offers; 0: offers to the owner
-	offers  map[shardmap.MoveID][]eventloop.Parked
-	queries []eventloop.Parked
+	// moves are the keys of offers, in the order of their first webhooks. Move 0 stands for offers to the owner.
+	moves   []shardmap.MoveID
+	offers  map[shardmap.MoveID][]eventloop.Parked // at most MaxBatch by each move
+	queries []eventloop.Parked                     // at most MaxBatch
 }
 
 func (b *batch) addOffer(w eventloop.Parked, move shardmap.MoveID) {
@@ -31,24 +33,24 @@
 	}
 }
 
-// batches are the batches by their peers.
+// batches holds the batch for each peer.
 type batches map[cluster.MemberID]*batch
 
-func (b batches) of(to cluster.MemberID) *batch {
+func (b batches) forPeer(to cluster.MemberID) *batch {
 	if b[to] == nil {
 		b[to] = &batch{offers: map[shardmap.MoveID][]eventloop.Parked{}}
 	}
 	return b[to]
 }
 
-// orderingKey identifies webhooks that are delivered in order.
+// orderingKey identifies a sequence of webhooks that are delivered in the order accepted.
 type orderingKey struct {
 	destination api.DestinationID
 	key         api.OrderingKey
 }
 
-// batchByPeer groups the pending webhooks by peer. Of one ordering key, no webhook is handed off behind one that is in
-// doubt or stays here.
+// batchByPeer groups the pending webhooks by the peer that they are sent to. Behind an ordered webhook that is in doubt
+// or stays here, no later webhook with the same ordering key is handed off: it could be delivered first.
 func (m *Manager) batchByPeer(shardMap *shardmap.Map, pending []eventloop.Parked) batches {
 	all, blocked := batches{}, map[orderingKey]bool{}
 	for _, w := range pending {
@@ -63,7 +65,7 @@
 			blocked[key] = blocked[key] || ordered
 			m.batchInDoubt(all, w, r, routed)
 		case routed:
-			all.of(r.to).addOffer(w, r.move)
+			all.forPeer(r.to).addOffer(w, r.move)
 		default:
 			blocked[key] = blocked[key] || ordered
 		}
@@ -71,21 +73,22 @@
 	return all
 }
 
-// batchInDoubt adds a webhook in doubt as a repeated offer if it goes to the same folder, and else as a query.
+// batchInDoubt adds a webhook in doubt to the batches. If the webhook is still routed to the member and the incarnation
+// that it was offered to, the offer is repeated; otherwise that member is queried for it.
 func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, routed bool) {
 	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
 	switch {
 	case !offered:
-		m.confirmArrival(w) // it may be resolved meanwhile
+		m.confirmArrival(w) // in doubt because it is arriving here, or resolved meanwhile
 	case routed && r.to == offer.To && m.Peers.Incarnation(r.to) == offer.Incarnation:
-		all.of(r.to).addOffer(w, r.move)
+		all.forPeer(r.to).addOffer(w, r.move)
 	default:
-		all.of(offer.To).addQuery(w)
+		all.forPeer(offer.To).addQuery(w)
 	}
 }
 
-// confirmArrival resolves the doubt about a webhook that is in the webhook journal, and whose custody record could not be
-// written when it arrived.
+// confirmArrival confirms a webhook that arrived from another member and is in the webhook journal, but whose custody
+// record could not be written then. Once the record is written, the webhook is no longer in doubt.
 func (m *Manager) confirmArrival(w eventloop.Parked) {
 	id := custody.IDOf(w.RequestID)
 	if !m.Custody.IsArriving(id) {
@@ -97,13 +100,14 @@
 	}
 }
 
-// route is where a webhook is handed off to.
+// route is the member that a webhook is handed off to, and why.
 type route struct {
 	to   cluster.MemberID
-	move shardmap.MoveID // by which it is handed off; 0: to is the owner
+	move shardmap.MoveID // the move by which the webhook is handed off; 0: none, to is the owner
 }
 
-// route returns where a webhook is handed off to; false: it stays here for now.
+// route returns where a webhook is handed off to. It returns false if the webhook stays here for now; in particular,
+// one that arrived by a move stays until the map shows which side of the move owns the range.
 func (m *Manager) route(shardMap *shardmap.Map, w eventloop.Parked) (route, bool) {
 	m.mu.Lock()
 	_, arrivedByMove := m.arrivals[w.RequestID]
--- a/cluster/member/handoff/batch_test.go
+++ b/cluster/member/handoff/batch_test.go
@@ -25,7 +25,7 @@
 
 const leaseTTL = api.Second
 
-// newTestManager returns the manager of member "a", which owns nothing. Event type 1 is ordered.
+// newTestManager returns the manager of member "a", which owns no range. Only event type 1 is ordered.
 func newTestManager(t *testing.T) *Manager {
 	t.Helper()
 	leader := raftleader.Start(t, leaseTTL, session.MaxConnections(1), raftleader.ReplyTruthfully)
@@ -53,7 +53,7 @@
 	})
 }
 
-// mapOwnedBy returns a map of one range with an owner.
+// mapOwnedBy returns a shard map with a single range, which owner serves.
 func mapOwnedBy(t *testing.T, owner cluster.MemberID) *shardmap.Map {
 	t.Helper()
 	shardMap := shardmap.New(nil)
@@ -71,7 +71,8 @@
 	return ids
 }
 
-// A webhook that is handed off while an earlier one of its key is in doubt may be delivered before it.
+// Guards against a webhook that is handed off while an earlier one with its ordering key is in doubt: it could be
+// delivered before the earlier one.
 func TestBatchByPeer_KeepsOrderBehindInDoubtWebhook(t *testing.T) {
 	m := newTestManager(t)
 	parked := func(id inflight.RequestID, key api.OrderingKey, event api.EventTypeID, inDoubt bool) eventloop.Parked {
@@ -91,8 +92,8 @@
 	assert.Len(t, all, 1)
 }
 
-// A webhook in doubt whose range moved to another member is not offered to that one, which would be a second custodian:
-// the member that may have it is queried.
+// The range of a webhook in doubt has moved to another member. The webhook is not offered to that member, since there
+// could be two custodians then; the member that it was offered to before is queried.
 func TestBatchByPeer_QueriesTargetOfOutstandingOffer(t *testing.T) {
 	m := newTestManager(t)
 	id := custody.IDOf("offered")
@@ -107,12 +108,12 @@
 	assert.NotContains(t, all, cluster.MemberID("c"))
 
 	all = m.batchByPeer(mapOwnedBy(t, "b"), pending)
-	assert.Equal(t, []inflight.RequestID{"offered"}, requestIDs(all["b"].offers[0]), "to the same folder")
+	assert.Equal(t, []inflight.RequestID{"offered"}, requestIDs(all["b"].offers[0]), "same incarnation of the directory")
 	assert.Empty(t, all["b"].queries)
 }
 
 func TestBatch_IsBounded(t *testing.T) {
-	b := batches{}.of("b")
+	b := batches{}.forPeer("b")
 	for range MaxBatch + 1 {
 		b.addOffer(eventloop.Parked{}, 5)
 		b.addQuery(eventloop.Parked{})
@@ -122,7 +123,7 @@
 	assert.Equal(t, []shardmap.MoveID{5}, b.moves)
 }
 
-// TestClose_WaitsForCallsInFlight closes a manager while a peer doesn't reply to a query.
+// TestClose_WaitsForCallsInFlight closes a manager while a query to a peer that doesn't reply is in flight.
 func TestClose_WaitsForCallsInFlight(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -139,7 +140,7 @@
 	w := &inflight.Webhook{RequestID: "offered", Destination: 7, Deadline: inflight.Now() + 100*api.Second}
 	b := &batch{queries: []eventloop.Parked{{Webhook: w, MayBeElsewhere: true}}}
 
-	require.True(t, m.tryStart("b"))
+	require.True(t, m.tryStartBatch("b"))
 	var ended atomic.Bool
 	go func() {
 		m.sendBatch(mapOwnedBy(t, "c"), "b", b)
@@ -151,5 +152,5 @@
 	assert.False(t, ended.Load(), "the query is in flight")
 	m.Close()
 	assert.Empty(t, m.inProgress)
-	assert.False(t, m.tryStart("b"), "no batch is started any more")
+	assert.False(t, m.tryStartBatch("b"), "no batch is started any more")
 }
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -12,22 +12,22 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// queryTimeoutDivisor is the fraction of a lease TTL that the reply to queries may take.
+// queryTimeoutDivisor sets the time-out of custody queries: LeaseTTL/queryTimeoutDivisor.
 const queryTimeoutDivisor = 4
 
-// inDoubt is a webhook that another member may have, with the offer that left the doubt.
-type inDoubt struct {
+// inDoubtWebhook is a webhook that another member may have, with the offer whose outcome is unknown.
+type inDoubtWebhook struct {
 	eventloop.Parked
 	id      shardmap.WebhookID
 	handoff shardmap.HandoffNumber
 	offer   shardmap.Offer
 }
 
-// queryInDoubt queries a member for webhooks that it may have and that can't be offered to it again: it is not the owner
-// any more, or has another folder.
+// queryInDoubt queries a member for the custody of webhooks that were offered to it. The offers can't be repeated,
+// because that member is no longer the owner, or because its directory now has another incarnation.
 func (m *Manager) queryInDoubt(at cluster.MemberID, webhooks []eventloop.Parked) {
 	now := inflight.Now()
-	var queried []inDoubt
+	var queried []inDoubtWebhook
 	var queries []peer.CustodyQuery
 	for _, w := range webhooks {
 		id := custody.IDOf(w.RequestID)
@@ -35,7 +35,7 @@
 		if !offered || offer.To != at {
 			continue
 		}
-		queried = append(queried, inDoubt{Parked: w, id: id, handoff: handoff, offer: offer})
+		queried = append(queried, inDoubtWebhook{Parked: w, id: id, handoff: handoff, offer: offer})
 		queries = append(queries, peer.CustodyQuery{ID: id, Handoff: handoff, TTLLeft: w.Deadline - now,
 			Incarnation: offer.Incarnation})
 	}
@@ -52,8 +52,9 @@
 	}
 }
 
-// resolveInDoubt resolves the doubt by a reply, or by the rules for a missing one (shardmap.Offer.Resolve).
-func (m *Manager) resolveInDoubt(d inDoubt, reply shardmap.CustodyReply) {
+// resolveInDoubt decides what becomes of a webhook in doubt, by the reply to its query or offer. CustodyUnknown stands
+// for a missing reply. The rules are those of shardmap.Offer.Resolve.
+func (m *Manager) resolveInDoubt(d inDoubtWebhook, reply shardmap.CustodyReply) {
 	now := inflight.Now()
 	resolution := d.offer.Resolve(reply, m.isOwnerReplaced(d), m.EventType(d.EventType), d.MayHaveRunAt, d.Deadline, now)
 	resolved := false
@@ -73,9 +74,9 @@
 	}
 }
 
-// dropCopy ends a webhook that the other member has. It returns false if the doubt was resolved otherwise meanwhile. The
-// end of the webhook is written before its custody record.
-func (m *Manager) dropCopy(d inDoubt) (dropped bool) {
+// dropCopy ends a webhook that the other member has taken. It returns false if another reply resolved the webhook
+// meanwhile. The end of the webhook is written before its custody record.
+func (m *Manager) dropCopy(d inDoubtWebhook) (dropped bool) {
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
 		if dropped {
@@ -85,8 +86,9 @@
 	return dropped
 }
 
-// keepCopy continues with a webhook that the other member never took. It returns false if that has to be tried again.
-func (m *Manager) keepCopy(d inDoubt) (kept bool) {
+// keepCopy resumes the delivery of a webhook that the other member has not taken and never will. It returns false if
+// the webhook is still in doubt and has to be resolved again, or was resolved by another reply.
+func (m *Manager) keepCopy(d inDoubtWebhook) (kept bool) {
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
 		kept = t.HandleReply(d.id, d.handoff, shardmap.CustodyNever) == shardmap.KeepCopy
 	})
@@ -97,16 +99,18 @@
 	return true
 }
 
-// forkCopy continues with a webhook that may have run elsewhere (ForkCopy), or dead-letters it. It returns false if that
-// has to be tried again. That the webhook may have run is written first, for a restart.
-func (m *Manager) forkCopy(d inDoubt, resolution shardmap.Resolution) (forked bool) {
+// forkCopy resumes the delivery of a webhook that may have run at the other member (shardmap.ForkCopy), or dead-letters
+// it (shardmap.DeadLetterCopy). That the webhook may have run is written first, so that it is known after a restart.
+// forkCopy returns false if the webhook is still in doubt and has to be resolved again, or was resolved by another
+// reply.
+func (m *Manager) forkCopy(d inDoubtWebhook, resolution shardmap.Resolution) (forked bool) {
 	mayHaveRun := &inflight.PriorAttempts{Attempts: d.Attempts + 1, MayHaveRunAt: d.offer.SentAt}
 	if !m.Loop.MergePriorAttempts(map[inflight.RequestID]*inflight.PriorAttempts{d.RequestID: mayHaveRun}) {
 		return false
 	}
 	err := m.Custody.Update([]shardmap.WebhookID{d.id}, func(t *shardmap.CustodyTable) {
 		_, handoff, pending := t.OutstandingOffer(d.id)
-		forked = pending && handoff == d.handoff // else another reply came meanwhile
+		forked = pending && handoff == d.handoff // else another reply has resolved the offer meanwhile
 		if forked {
 			t.Fork(d.id)
 		}
@@ -122,9 +126,10 @@
 	return true
 }
 
-// isOwnerReplaced reports whether, by the map, the member that may have a webhook can't call for it any more, because the
-// range was granted to another member since.
-func (m *Manager) isOwnerReplaced(d inDoubt) bool {
+// isOwnerReplaced reports whether the map shows that the member that may have a webhook can no longer call its
+// destination, because the range was granted to another member after the offer. It returns false if the map leaves that
+// open.
+func (m *Manager) isOwnerReplaced(d inDoubtWebhook) bool {
 	shardMap := m.Ownership.Map()
 	if shardMap == nil {
 		return false
--- a/cluster/member/handoff/manager.go
+++ b/cluster/member/handoff/manager.go
@@ -1,5 +1,6 @@
-// Package handoff transfers webhooks that are pending here to the member that owns them, with the learned state of their
-// destinations, and resolves the custody of webhooks whose transfer had no response.
+// Package handoff transfers webhooks that are pending at this member to the member that owns their range, or is about
+// to own it by a move. To the target of a move it also sends the state that this member has learned about the
+// destinations. It resolves the custody of webhooks in doubt, those whose transfer was not answered.
 package handoff
 
 import (
@@ -15,33 +16,33 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// MaxBatch bounds the webhooks in one message.
+// MaxBatch is the maximum number of webhooks in one message.
 const MaxBatch = 256
 
-// Config is what a Manager is made from.
+// Config holds the dependencies of a Manager.
 type Config struct {
 	Ownership *ownership.Manager
 	Custody   *custody.Store
 	Metrics   *custody.Metrics
 	Peers     *peer.Client
 	Loop      *eventloop.Loop
-	EventType func(api.EventTypeID) api.EventType // by the settings read last
+	EventType func(api.EventTypeID) api.EventType // returns the event type in the current settings
 	Wake      func()                              // schedules a Run; must not block
 }
 
-// Manager hands off webhooks of one member. Its methods may be called concurrently, but for Run.
+// Manager hands off the webhooks of one member. Its methods may be called concurrently, except for Run.
 type Manager struct {
 	Config
 
 	mu         sync.Mutex
-	arrivals   map[inflight.RequestID]shardmap.MoveID // webhooks that came here by a move that has not ended
-	stateSent  map[shardmap.MoveID]bool               // its target has the learned state
-	inProgress map[cluster.MemberID]bool              // a batch for it is being sent
-	closed     bool                                   // no batch is started any more
-	running    sync.WaitGroup                         // the goroutines of the batches
+	arrivals   map[inflight.RequestID]shardmap.MoveID // webhooks that arrived by a move whose owner is still undecided
+	stateSent  map[shardmap.MoveID]bool               // moves whose target has received the learned state
+	inProgress map[cluster.MemberID]bool              // peers to which a batch is being sent
+	closed     bool                                   // Close was called: no further batch is started
+	running    sync.WaitGroup                         // the goroutines that send batches
 }
 
-// New returns a Manager that has handed off nothing.
+// New returns a Manager. Nothing is handed off before the first Run.
 func New(c Config) *Manager {
 	return &Manager{
 		Config:     c,
@@ -51,7 +52,8 @@
 	}
 }
 
-// RecordArrival records by which move a webhook arrived; 0: by none, or it was not accepted.
+// RecordArrival records the move by which a webhook arrived from another member. Move 0 removes the record: the webhook
+// arrived by no move, or was not accepted.
 func (m *Manager) RecordArrival(id inflight.RequestID, move shardmap.MoveID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,13 +64,14 @@
 	}
 }
 
-// IsOrdered reports whether a webhook has to be delivered in the order of its key.
+// IsOrdered reports whether a webhook has to be delivered in order with the other webhooks of its ordering key.
 func (m *Manager) IsOrdered(w *inflight.Webhook) bool {
 	return w.OrderingKey != 0 && m.EventType(w.EventType).Ordered
 }
 
-// Run starts to hand off webhooks that other members own and to resolve those in doubt. Each peer has its own goroutine,
-// one at a time, so that a partitioned one does not delay the others.
+// Run starts to hand off the webhooks that other members own and to resolve those in doubt, and transfers the learned
+// state of moves. The batch for each peer is sent by a goroutine of its own, so that a partitioned peer does not delay
+// the others. No batch is started for a peer while an earlier one is being sent.
 func (m *Manager) Run() {
 	shardMap := m.Ownership.Map()
 	if shardMap == nil {
@@ -78,7 +81,7 @@
 	m.forgetEndedMoves(shardMap)
 	started := map[cluster.MemberID]*batch{}
 	for to, b := range m.batchByPeer(shardMap, pending) {
-		if m.tryStart(to) {
+		if m.tryStartBatch(to) {
 			started[to] = b
 		}
 	}
@@ -89,7 +92,7 @@
 }
 
 func (m *Manager) sendBatch(shardMap *shardmap.Map, to cluster.MemberID, b *batch) {
-	defer m.finish(to)
+	defer m.finishBatch(to)
 	m.queryInDoubt(to, b.queries)
 	for _, move := range b.moves {
 		if m.isClosed() {
@@ -99,8 +102,9 @@
 	}
 }
 
-// tryStart reports whether a batch for a peer may be sent now. The caller then calls finish at its end.
-func (m *Manager) tryStart(to cluster.MemberID) bool {
+// tryStartBatch marks a batch for a peer as being sent. It returns false if the Manager is closed or an earlier batch
+// for the peer is still being sent. After true the caller must call finishBatch once the batch is sent.
+func (m *Manager) tryStartBatch(to cluster.MemberID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed || m.inProgress[to] {
@@ -111,7 +115,7 @@
 	return true
 }
 
-func (m *Manager) finish(to cluster.MemberID) {
+func (m *Manager) finishBatch(to cluster.MemberID) {
 	m.mu.Lock()
 	delete(m.inProgress, to)
 	m.mu.Unlock()
@@ -124,8 +128,9 @@
 	return m.closed
 }
 
-// Close starts no further batches and waits for the calls in flight, each of which has a time-out of a fraction of the
-// lease TTL. The custody store and the event loop, which the replies change, must be open until then.
+// Close prevents further batches and waits for those that are being sent. Each of their requests has a time-out of a
+// fraction of the lease TTL. The custody store and the event loop must stay open until Close returns, since replies
+// change them.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -133,7 +138,7 @@
 	m.running.Wait()
 }
 
-// forgetEndedMoves forgets by which move webhooks arrived, once the owner of the range is decided.
+// forgetEndedMoves removes the arrivals of moves for which the map shows which side owns the range.
 func (m *Manager) forgetEndedMoves(shardMap *shardmap.Map) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -14,19 +14,19 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// offerTimeoutDivisor is the fraction of a lease TTL that the reply to a transfer may take.
+// offerTimeoutDivisor sets the time-out of transfers: LeaseTTL/offerTimeoutDivisor.
 const offerTimeoutDivisor = 2
 
-// offered is a webhook of a transfer, with the reply to it.
-type offered struct {
+// offeredWebhook is a webhook that a transfer offers, with the peer's reply.
+type offeredWebhook struct {
 	eventloop.Parked
 	id      shardmap.WebhookID
 	handoff shardmap.HandoffNumber
 	reply   shardmap.CustodyReply
 }
 
-// offerWebhooks offers webhooks to the owner of their range, or to the target of its move. They are parked in doubt
-// until there is a reply; one without a reply is offered again, with the same ID and hand-off number.
+// offerWebhooks offers webhooks to the owner of their range, or to the target of its move. They stay parked in doubt
+// until the peer replies. A webhook without a reply is offered again later, with the same ID and hand-off number.
 func (m *Manager) offerWebhooks(shardMap *shardmap.Map, to cluster.MemberID, move shardmap.MoveID,
 	webhooks []eventloop.Parked) {
 	transfer := peer.Transfer{MapVersion: shardMap.Version, SentAt: inflight.Now(), Move: move}
@@ -39,7 +39,7 @@
 	for i := range offers {
 		switch {
 		case errors.Is(err, transport.ErrNotSent):
-			offers[i].reply = shardmap.CustodyRejected // this attempt had no effect
+			offers[i].reply = shardmap.CustodyRejected // the transfer had no effect
 		case err == nil:
 			offers[i].reply = result.Outcomes[i].Reply
 		}
@@ -60,9 +60,10 @@
 	}
 }
 
-// recordOffers adds the webhooks that are still parked here to a transfer, and writes their offers before it is sent.
+// recordOffers adds the webhooks that are still parked here to a transfer and writes their offers to the custody
+// records, which has to be done before the transfer is sent. It returns the offers, or none if writing failed.
 func (m *Manager) recordOffers(shardMap *shardmap.Map, to cluster.MemberID, transfer *peer.Transfer,
-	webhooks []eventloop.Parked) (offers []offered) {
+	webhooks []eventloop.Parked) (offers []offeredWebhook) {
 	localIDs := make([]api.WebhookID, len(webhooks))
 	ids := make([]shardmap.WebhookID, len(webhooks))
 	for i, w := range webhooks {
@@ -79,9 +80,9 @@
 			switch {
 			case !parked || !found:
 				continue
-			case !pending && !wasNotInDoubt: // in doubt for another reason, or arriving
+			case !pending && !wasNotInDoubt: // in doubt without an offer, for example because it is arriving
 				continue
-			case !pending && w.MayBeElsewhere: // resolved meanwhile, and marked again by MarkInDoubt
+			case !pending && w.MayBeElsewhere: // was in doubt, resolved meanwhile and marked again by MarkInDoubt
 				resolved = append(resolved, w.RequestID)
 				continue
 			case !pending:
@@ -90,7 +91,7 @@
 			handoff, ok := t.BeginOffer(ids[i], w.Deadline, shardmap.Offer{To: to, Incarnation: incarnation,
 				Move: transfer.Move, Range: r.ID, Epoch: r.Epoch, SentAt: transfer.SentAt})
 			if ok {
-				offers = append(offers, offered{Parked: w, id: ids[i], handoff: handoff})
+				offers = append(offers, offeredWebhook{Parked: w, id: ids[i], handoff: handoff})
 				transfer.Webhooks = append(transfer.Webhooks, peer.EncodeWebhook(w, ids[i], handoff))
 			}
 		}
@@ -102,8 +103,8 @@
 	return offers
 }
 
-// applyReplies ends, keeps or leaves in doubt each offered webhook, by its reply.
-func (m *Manager) applyReplies(offers []offered) {
+// applyReplies ends, keeps or leaves in doubt each offered webhook, depending on its reply.
+func (m *Manager) applyReplies(offers []offeredWebhook) {
 	var notTaken []shardmap.WebhookID
 	for _, o := range offers {
 		if o.reply != shardmap.CustodyTaken {
@@ -127,20 +128,21 @@
 			}
 		}
 	})
-	if err == nil { // else they stay in doubt
+	if err == nil { // else the webhooks stay in doubt
 		m.Loop.ResolveInDoubt(kept)
 	}
 	for _, o := range offers {
 		pending, handoff, found := m.Custody.PendingOffer(o.id)
 		if found && o.reply == shardmap.CustodyStateLost {
-			m.resolveInDoubt(inDoubt{Parked: o.Parked, id: o.id, handoff: handoff, offer: pending}, o.reply)
+			m.resolveInDoubt(inDoubtWebhook{Parked: o.Parked, id: o.id, handoff: handoff, offer: pending}, o.reply)
 		}
 	}
 }
 
-// dropTransferred ends the webhooks that another member has taken. The custody table is locked meanwhile: one may have
-// been transferred back, and none may be accepted again before it has ended here.
-func (m *Manager) dropTransferred(offers []offered) {
+// dropTransferred ends the webhooks that another member has taken. The custody table stays locked meanwhile: the other
+// member may already be transferring one of them back, and a webhook must not be accepted again before it has ended
+// here.
+func (m *Manager) dropTransferred(offers []offeredWebhook) {
 	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
 		var ids []api.WebhookID
 		for _, o := range offers {
--- a/cluster/member/handoff/state.go
+++ b/cluster/member/handoff/state.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// transferState sends the learned state of the destinations to the target of each move, once no call of the range is in
-// flight.
+// transferState sends the learned state of the destinations to the target of each move whose source is this member, as
+// soon as no call to them is in flight.
 func (m *Manager) transferState(shardMap *shardmap.Map) {
 	open := map[shardmap.MoveID]bool{}
 	for _, r := range shardMap.Ranges {
@@ -32,7 +32,8 @@
 	}
 }
 
-// transferRangeState returns whether the target of the range's move has the state.
+// transferRangeState sends the learned state of a range to the target of its move. It returns whether the target has
+// received the state, and doesn't send while a call of the range is in flight, which may still change the state.
 func (m *Manager) transferRangeState(shardMap *shardmap.Map, r shardmap.Range) bool {
 	learned, idle := m.Loop.ExportState(func(d api.DestinationID) bool { return shardMap.Contains(r, d) })
 	if !idle {
@@ -54,8 +55,8 @@
 	m.stateSent[move] = true
 }
 
-// ApplyState imports the state of destinations that another member has learned. offset is by how much this member's clock
-// is ahead of that one's.
+// ApplyState imports the state that another member has learned about destinations. Its times are by that member's
+// clock; offset is how far this member's clock is ahead.
 func (m *Manager) ApplyState(learned []api.DestinationState, offset api.Micros) {
 	if len(learned) == 0 {
 		return
--- a/cluster/member/health/collector.go
+++ b/cluster/member/health/collector.go
@@ -40,8 +40,8 @@
 // NewCollector returns a Collector that has collected nothing.
 func NewCollector(c CollectorConfig) *Collector { return &Collector{CollectorConfig: c} }
 
-// Run polls the members until stop is closed. It runs apart from the coordinator's goroutine, which must not wait for an
-// unresponsive member.
+// Run polls the members until stop is closed. It runs apart from the coordinator's goroutine, which must not wait for
+// an unresponsive member.
 func (c *Collector) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(c.LeaseTTL / pollsPerTTL)
 	defer tick.Stop()
--- a/cluster/member/health/reporter_test.go
+++ b/cluster/member/health/reporter_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Each outcome counts once, and a rejection at the member that responds to the client: otherwise harm would be missed, or
-// counted by both the owner and the forwarding member.
+// Each outcome counts once, and a rejection at the member that responds to the client: otherwise harm would be missed,
+// or counted by both the owner and the forwarding member.
 func TestReporter_CountsEachEndOnce(t *testing.T) {
 	ranges, err := shardmap.EvenRanges(1, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(t, err)
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Drain waits for one of the departure slots by which the operator file bounds how many members shut down at once. After
-// one lease TTL it returns without a slot: the process was told to end.
+// Drain waits for one of the departure slots by which the operator file bounds how many members shut down at once.
+// After one lease TTL it returns without a slot: the process was told to end.
 func (m *Member) Drain() {
 	slots := m.file.MaxDeparting
 	for slot := range slots {
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -1,6 +1,6 @@
 // Package member makes a webhook dispatcher a member of a cluster. It wires the following to the dispatcher and runs
-// them: a raft node where the operator file names one here (raftnode), the session with its leases (session), the ranges
-// that this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the
+// them: a raft node where the operator file names one here (raftnode), the session with its leases (session), the
+// ranges that this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the
 // rebalancing plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
 package member
 
--- a/cluster/member/member_test.go
+++ b/cluster/member/member_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against a webhook that is delivered twice: a copy that was lost with a relay is sent once more by settings that
-// don't hold any more.
+// Guards against a webhook that is delivered twice: a copy that was lost with a relay is sent once more by settings
+// that don't hold any more.
 func TestEventType_FollowsReloadedSettings(t *testing.T) {
 	m := New("")
 	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
--- a/cluster/member/ownership/closedrange.go
+++ b/cluster/member/ownership/closedrange.go
@@ -25,8 +25,8 @@
 	return m.admissionMu.RUnlock
 }
 
-// IsClosed reports whether a webhook with this decision can't be admitted because its range is closed: the webhook has to
-// wait until the move has switched.
+// IsClosed reports whether a webhook with this decision can't be admitted because its range is closed: the webhook has
+// to wait until the move has switched.
 func (m *Manager) IsClosed(d shardmap.Decision) bool {
 	if d.Action != shardmap.ParkOwned || !d.Move.IsOpen() {
 		return false
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -1,10 +1,10 @@
-// Package ownership reconciles a member with the shard map: it caches the map, acquires the leases of the ranges that the
-// map assigns to the member, confirms in the map the lease grants by which the member serves these ranges, and releases
-// the lease of a range that moves to another member once no call of the range is in flight and no webhook of it is
-// pending here. Manager.Decide returns what the member does with a webhook.
+// Package ownership reconciles a member with the shard map: it caches the map, acquires the leases of the ranges that
+// the map assigns to the member, confirms in the map the lease grants by which the member serves these ranges, and
+// releases the lease of a range that moves to another member once no call of the range is in flight and no webhook of
+// it is pending here. Manager.Decide returns what the member does with a webhook.
 //
-// Package shardmap has the rules. This package applies them to the member's session and clock, and proposes the commands
-// that follow.
+// Package shardmap has the rules. This package applies them to the member's session and clock, and proposes the
+// commands that follow.
 package ownership
 
 import (
@@ -96,8 +96,8 @@
 	m.OnChange()
 }
 
-// TrackSession records the time at which the session is first seen inactive, and logs when isolation begins or ends. The
-// caller calls it at short intervals, since the recorded time is that of the call.
+// TrackSession records the time at which the session is first seen inactive, and logs when isolation begins or ends.
+// The caller calls it at short intervals, since the recorded time is that of the call.
 func (m *Manager) TrackSession() {
 	if m.session.IsActive() {
 		m.inactiveSince.Store(int64(api.Never))
@@ -143,7 +143,8 @@
 	return held
 }
 
-// Decide returns what this member does now with webhooks of a destination. Before the first shard map it is to park them.
+// Decide returns what this member does now with webhooks of a destination. Before the first shard map it is to park
+// them.
 func (m *Manager) Decide(destination api.DestinationID) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
--- a/cluster/member/ownership/reconcile.go
+++ b/cluster/member/ownership/reconcile.go
@@ -12,9 +12,9 @@
 	"rowanlink/cluster/transport"
 )
 
-// Reconcile compares the shard map with the leases that this member holds. It acquires and releases leases, and proposes
-// to confirm owners and placements, to switch moves and to clear them, as far as that is due. It is called whenever the
-// map or the leases have changed, and also periodically, because a proposal may have been lost.
+// Reconcile compares the shard map with the leases that this member holds. It acquires and releases leases, and
+// proposes to confirm owners and placements, to switch moves and to clear them, as far as that is due. It is called
+// whenever the map or the leases have changed, and also periodically, because a proposal may have been lost.
 func (m *Manager) Reconcile() {
 	m.reconcileMu.Lock()
 	defer m.reconcileMu.Unlock()
@@ -62,15 +62,15 @@
 	}
 }
 
-// mayRelease reports whether a range whose lease is held may have to be released. Calls and pending webhooks are counted
-// only for such ranges.
+// mayRelease reports whether a range whose lease is held may have to be released. Calls and pending webhooks are
+// counted only for such ranges.
 func (m *Manager) mayRelease(r shardmap.Range) bool {
 	return !r.ShouldAcquire(m.Self) || r.Move.Step == shardmap.StepHandoff && r.Owner == m.Self
 }
 
-// releaseRange releases the lease of a range as soon as that is allowed. The source of a move first closes the range, and
-// releases it at the earliest in the next call: that call counts all webhooks that were admitted before the range was
-// closed.
+// releaseRange releases the lease of a range as soon as that is allowed. The source of a move first closes the range,
+// and releases it at the earliest in the next call: that call counts all webhooks that were admitted before the range
+// was closed.
 func (m *Manager) releaseRange(r shardmap.Range, resource cluster.Resource, epoch cluster.Epoch) {
 	inFlight, pending := m.local.CallsInFlight(r), m.local.PendingWebhooks(r)
 	mayClose := m.local.StateTransferred(r) && r.ShouldCloseIntake(m.Self, inFlight, pending, m.HandoffBatch)
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -78,8 +78,8 @@
 	require.False(t, m.HoldsRange(last.ID))
 }
 
-// A member that has given a range up to another member is granted the range's lease late, by an earlier request. It must
-// release the late grant at once: otherwise the target of the range's current move could never acquire the lease.
+// A member that has given a range up to another member is granted the range's lease late, by an earlier request. It
+// must release the late grant at once: otherwise the target of the range's current move could never acquire the lease.
 func TestReconcile_ReleasesLateGrantDuringHandoff(t *testing.T) {
 	m, s, _ := newIdleManager(t)
 	acquire(t, s, 1)
--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -58,8 +58,8 @@
 
 const benchLeaseTTL = 3 * api.Second
 
-// BenchmarkAtRest measures an idle cluster for one lease TTL: three raft nodes and a number of members that hold a lease
-// each and watch the leases, all in this process.
+// BenchmarkAtRest measures an idle cluster for one lease TTL: three raft nodes and a number of members that hold a
+// lease each and watch the leases, all in this process.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { benchmarkAtRest(b, members) })
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -44,8 +44,8 @@
 	return leader, sessions
 }
 
-// The response to a grant is lost, and the next one comes from a leader that was paused and has an older state. The member
-// still acquires the resource: otherwise it would be granted by the log to a member that never acts on it.
+// The response to a grant is lost, and the next one comes from a leader that was paused and has an older state. The
+// member still acquires the resource: otherwise it would be granted by the log to a member that never acts on it.
 func TestSession_RecoversLostGrantDespiteStaleLeader(t *testing.T) {
 	_, s := startFakeLeader(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
--- a/cluster/member/session/leaderclient.go
+++ b/cluster/member/session/leaderclient.go
@@ -96,8 +96,8 @@
 	return elsewhere.Leader
 }
 
-// Propose appends a command to the log and returns the result of the component that applied it and the entry's index, or
-// the error by which that component rejected it; other errors are those of Request.
+// Propose appends a command to the log and returns the result of the component that applied it and the entry's index,
+// or the error by which that component rejected it; other errors are those of Request.
 func (c *LeaderClient) Propose(command cluster.Command, within time.Duration) (answer []byte, index uint64, err error) {
 	raw, err := c.Request(transport.ProposePath, transport.Encode(command), within)
 	if err != nil {
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -20,8 +20,9 @@
 	deliveredVersion uint64 // of the last snapshot that was
 }
 
-// Watch delivers newer snapshots of a component of the replicated state, always the newest; those between may be skipped. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a resource
-// that becomes free is still acquired meanwhile.
+// Watch delivers newer snapshots of a component of the replicated state, always the newest; those between may be
+// skipped. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a
+// resource that becomes free is still acquired meanwhile.
 func (s *Session) Watch(component cluster.ComponentID, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/session/workload.go
+++ b/cluster/member/session/workload.go
@@ -58,8 +58,8 @@
 	return 1 + api.Micros(s.Leader.drawRandom()*float64(s.LeaseTTL/workloadDelayDivisor))
 }
 
-// reportToChecker sends a request to the lease checker and returns whether it was accepted. It writes the last byte only if the
-// resource is still held right before.
+// reportToChecker sends a request to the lease checker and returns whether it was accepted. It writes the last byte
+// only if the resource is still held right before.
 func (s *Session) reportToChecker(checker, action string, query url.Values, stillHeld func() bool) bool {
 	dialer := net.Dialer{Timeout: s.LeaseTTL.Duration()}
 	conn, err := dialer.DialContext(context.Background(), "tcp", checker)
--- a/cluster/member/steplog/steplog.go
+++ b/cluster/member/steplog/steplog.go
@@ -1,5 +1,6 @@
-// Package steplog logs the steps of moves whose proposals had an unknown outcome, once the shard map shows that they
-// were taken. Operators see each step of a move once, whichever way the member learned of it.
+// Package steplog logs those steps of moves whose proposals had an unknown outcome: a step is logged once the shard map
+// shows that it was taken. So operators see each step of a move exactly once in the log, whether or not its proposal
+// was answered.
 package steplog
 
 import (
@@ -13,13 +14,15 @@
 // It is not safe for concurrent use.
 type Unconfirmed struct{ byRange map[cluster.RangeID]step }
 
+// step is a proposed step that may have been taken.
 type step struct {
 	event   string
 	fields  []any
 	isTaken func(shardmap.Range) bool
 }
 
-// Add adds a step that may have been taken; isTaken decides that by the range as the map has it.
+// Add adds a step that may have been taken. isTaken reports whether the range, as the map has it, shows the step as
+// taken. event and fields are what Confirm logs.
 func (u *Unconfirmed) Add(id cluster.RangeID, event string, isTaken func(shardmap.Range) bool, fields ...any) {
 	if u.byRange == nil {
 		u.byRange = map[cluster.RangeID]step{}
@@ -27,10 +30,11 @@
 	u.byRange[id] = step{event: event, fields: fields, isTaken: isTaken}
 }
 
-// Drop drops the step of a range, since a later proposal has a known outcome.
+// Drop removes the step of a range without logging it. It is called when a later proposal for the range has a known
+// outcome.
 func (u *Unconfirmed) Drop(id cluster.RangeID) { delete(u.byRange, id) }
 
-// Confirm logs the step of a range if the map has it as taken.
+// Confirm logs and removes the step of a range if the range, as the map has it, shows the step as taken.
 func (u *Unconfirmed) Confirm(r shardmap.Range) {
 	pending, exists := u.byRange[r.ID]
 	if !exists || !pending.isTaken(r) {
--- a/cluster/member/steplog/steplog_test.go
+++ b/cluster/member/steplog/steplog_test.go
@@ -11,7 +11,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// TestUnconfirmed_LogsAStepOnceTaken guards against a step that operators never see because its proposal had no answer.
+// TestUnconfirmed_LogsAStepOnceTaken guards against a step that is missing from the log because its proposal was not
+// answered.
 func TestUnconfirmed_LogsAStepOnceTaken(t *testing.T) {
 	var written bytes.Buffer
 	former := slog.Default()
