--- a/cluster/member/session/acquire.go
+++ b/cluster/member/session/acquire.go
@@ -19,7 +19,7 @@
 		switch {
 		case next.Release != "":
 			err = s.proposeRelease(next)
-		case next.HasWork() && s.takeFreed():
+		case next.HasWork() && s.consumeResourceFreed():
 			if !s.sleep(timing.AcquireJitter(s.LeaseTTL, s.Leader.drawRandom())) {
 				return
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// nextProposal returns what to propose now. If that is nothing, idle is the time after which there may be something
-// without a wake-up.
+// nextProposal returns what to propose now. If that is nothing, idle is the duration after which there may be something
+// to propose without acquireWake being sent.
 func (s *Session) nextProposal() (p lease.Proposal, idle api.Micros) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,12 +55,13 @@
 		idle = min(idle, max(at-now, 0)+1)
 	}
 	if !s.holder.IsValid(now) {
-		idle = s.LeaseTTL // acquireWake is sent when a session is open again
+		idle = s.LeaseTTL // acquireWake is sent once a session is open again
 	}
 	return s.reconciler.NextProposal(now), idle
 }
 
-// waitForWork waits until there may be something to propose, for atMost. It returns false if the session is closed.
+// waitForWork waits until there may be something to propose, but no longer than atMost. It returns false if the session
+// is closed.
 func (s *Session) waitForWork(atMost api.Micros) bool {
 	timer := time.NewTimer(atMost.Duration())
 	defer timer.Stop()
@@ -83,7 +84,7 @@
 	return err
 }
 
-// proposeGrant requests the leases of resources. One that another session holds is requested again once a raft node
+// proposeGrant requests leases on resources. A resource that another session holds is requested again once a raft node
 // reports that it is free, or after a retry interval.
 func (s *Session) proposeGrant(p lease.Proposal) error {
 	raw, err := s.Propose(p.Command())
@@ -106,21 +107,22 @@
 	return nil
 }
 
-// markFreed records a raft node's report that resources are free.
+// markFreed records that a raft node reported resources as free.
 func (s *Session) markFreed(resources []cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reconciler.HandleFreed(resources) {
-		s.hasFreed = true
+		s.resourceFreed = true
 		s.acquireWake.Send()
 	}
 }
 
-// takeFreed reports, once, whether a resource was freed since that others may want, too.
-func (s *Session) takeFreed() bool {
+// consumeResourceFreed reports whether a resource became free since the last call, and resets resourceFreed. Other
+// members may be about to request the same resource.
+func (s *Session) consumeResourceFreed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hadFreed := s.hasFreed
-	s.hasFreed = false
+	hadFreed := s.resourceFreed
+	s.resourceFreed = false
 	return hadFreed
 }
--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -17,7 +17,7 @@
 	"rowanlink/webhook/api"
 )
 
-// counted is a listener that counts the bytes of its connections, both ways.
+// counted is a listener that counts the bytes received and sent on its connections.
 type counted struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -58,8 +58,8 @@
 
 const benchLeaseTTL = 3 * api.Second
 
-// BenchmarkAtRest measures an idle cluster for one lease TTL: three raft nodes and a number of members that hold a
-// lease each and watch the leases, all in this process.
+// BenchmarkAtRest measures an idle cluster, for one lease TTL per iteration. Three raft nodes run in this process,
+// together with a number of members that hold one lease each and watch the leases.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { benchmarkAtRest(b, members) })
@@ -97,7 +97,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTakeover partitions the leading raft node repeatedly, and measures the time until another one leads.
+// BenchmarkTakeover measures the time until another raft node leads after the leading one was partitioned.
 func BenchmarkTakeover(b *testing.B) {
 	c := startClusterWith(b, benchLeaseTTL, false)
 	var all []float64
--- a/cluster/member/session/cluster_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -27,12 +27,12 @@
 
 const (
 	leaseTTL    = api.Second
-	longTimeout = 20 * time.Second // more than anything takes, on a busy machine too
+	longTimeout = 20 * time.Second // longer than any awaited condition takes, also on a busy machine
 
 	nodeCount          = 3
 	nodeMaxConnections = 1000
 
-	// exclusiveResource is the resource that requireExclusive watches.
+	// exclusiveResource is the resource that requireExclusive checks.
 	exclusiveResource cluster.Resource = "home/1"
 )
 
@@ -47,10 +47,11 @@
 
 func clock() api.Micros { return api.Micros(time.Since(startedAt).Microseconds()) }
 
-// linkEnds are who dials and who accepts on a link.
+// linkEnds identifies a link by the member that dials and the member that accepts.
 type linkEnds struct{ from, to cluster.MemberID }
 
-// testCluster is some raft nodes, and sessions that reach them over links of their own.
+// testCluster is a group of raft nodes with sessions. Each node and each session reaches the nodes over links of its
+// own, which a test can cut.
 type testCluster struct {
 	t             testing.TB
 	leaseTTL      api.Micros
@@ -61,8 +62,8 @@
 	links         map[linkEnds][]*link
 	running       map[cluster.MemberID]*runningNode
 	incarnations  lease.Incarnation
-	nodeBytes     atomic.Int64 // that nodes received and sent, from members and each other
-	withoutLinks  bool
+	nodeBytes     atomic.Int64 // bytes that the nodes received and sent, among themselves and with members
+	withoutLinks  bool         // nodes and sessions connect directly, so that partition and heal have no effect
 }
 
 type runningNode struct {
@@ -102,20 +103,21 @@
 	return c
 }
 
-// addNode gives a raft node its addresses and its folder.
+// addNode reserves the addresses of a raft node and creates its state directory. It doesn't start the node.
 func (c *testCluster) addNode(m cluster.MemberID) {
 	c.t.Helper()
 	c.names = append(c.names, m)
 	for _, addresses := range []map[cluster.MemberID]string{c.addresses, c.raftAddresses} {
 		port, err := portalloc.Reserve()
 		require.NoError(c.t, err)
-		c.t.Cleanup(func() { _ = port.Close() }) // the port is free then, at the latest with the process
+		c.t.Cleanup(func() { _ = port.Close() }) // an error doesn't matter: the port becomes free when the process ends
 		addresses[m] = port.Addr
 	}
 	c.folders[m] = c.t.TempDir()
 }
 
-// addressesFor returns the addresses as one of them has them, each that of a link to the real one.
+// addressesFor returns the addresses that one member or node uses to reach the nodes: for each real address, that of a
+// new link to it.
 func (c *testCluster) addressesFor(by cluster.MemberID,
 	real map[cluster.MemberID]string) map[cluster.MemberID]string {
 	c.t.Helper()
@@ -131,12 +133,12 @@
 	return addresses
 }
 
-// partition cuts one off from some others.
+// partition cuts the links between one member or node and others.
 func (c *testCluster) partition(one cluster.MemberID, others ...cluster.MemberID) {
 	c.setLinks(true, one, others)
 }
 
-// heal joins one to some others again.
+// heal restores the links between one member or node and others.
 func (c *testCluster) heal(one cluster.MemberID, others ...cluster.MemberID) {
 	c.setLinks(false, one, others)
 }
@@ -180,7 +182,7 @@
 func (c *testCluster) stopNode(m cluster.MemberID) {
 	n := c.running[m]
 	delete(c.running, m)
-	_ = n.Close() // some are stopped without a majority, which hands no leadership on
+	_ = n.Close() // fails without a majority, since no leadership can be transferred then
 	_ = n.server.Close(time.Second)
 	n.client.Close()
 }
@@ -200,7 +202,7 @@
 	return leader
 }
 
-// startSession starts the session of a member that wants resources.
+// startSession starts the session of a member that requests the given resources.
 func (c *testCluster) startSession(name cluster.MemberID, resources ...cluster.Resource) *session.Session {
 	c.t.Helper()
 	client := transport.NewClient(name, c.addressesFor(name, c.addresses))
@@ -242,7 +244,7 @@
 	})
 }
 
-// watchExclusive returns the first violation of exclusiveResource's exclusiveness, or "".
+// watchExclusive checks until end is closed and returns the first violation, or "" if there was none.
 func watchExclusive(end <-chan struct{}, sessions []*session.Session) (violation string) {
 	var last cluster.Epoch
 	for {
@@ -265,7 +267,8 @@
 	}
 }
 
-// isHeldByAnother reports whether a session that held exclusiveResource before another did still holds it after.
+// isHeldByAnother reports whether one of the others holds exclusiveResource and s still holds it afterwards. The caller
+// has seen that s held it before; without the second check, a release in between would look like a violation.
 func isHeldByAnother(s *session.Session, others []*session.Session) bool {
 	for _, other := range others {
 		if _, alsoHeld := other.Holds(exclusiveResource); !alsoHeld {
--- a/cluster/member/session/connections.go
+++ b/cluster/member/session/connections.go
@@ -5,6 +5,7 @@
 	connectionsPerMember = 8
 )
 
-// MaxConnections returns how many connections a member accepts at the most, in a cluster of so many members. Each
-// member's renewal, poll and proposal holds one: with a lower bound raft nodes would reject those of a large cluster.
+// MaxConnections returns the maximum number of connections that a member accepts in a cluster with the given number of
+// members. Each member can hold one connection for each of its renewal, poll and proposal; with a lower limit, raft
+// nodes would reject connections in a large cluster.
 func MaxConnections(members int) int { return max(minConnections, connectionsPerMember*members) }
--- a/cluster/member/session/fakeleader_test.go
+++ b/cluster/member/session/fakeleader_test.go
@@ -24,7 +24,7 @@
 	return leader, sessions[0]
 }
 
-// startFakeLeaderOf starts a fake leader and the sessions of so many members with it.
+// startFakeLeaderOf starts a fake leader, and for each of a number of members a session with it.
 func startFakeLeaderOf(t *testing.T, members int, leaseTTL api.Micros, reply raftleader.GrantReply) (
 	*raftleader.Leader, []*session.Session) {
 	t.Helper()
@@ -44,8 +44,9 @@
 	return leader, sessions
 }
 
-// The response to a grant is lost, and the next one comes from a leader that was paused and has an older state. The
-// member still acquires the resource: otherwise it would be granted by the log to a member that never acts on it.
+// The response to the first request for a lease is lost, and the next response comes from a leader that was paused and
+// has an older state. The member still acquires the resource: otherwise the resource would stay granted in the log to a
+// member that never acts on it.
 func TestSession_RecoversLostGrantDespiteStaleLeader(t *testing.T) {
 	_, s := startFakeLeader(t, func(no int, real transport.ProposeResponse) (int, []byte) {
 		if no == 1 {
@@ -58,8 +59,8 @@
 	awaitHeld(t, s, "home/1")
 }
 
-// The response to a grant was lost and the resource is no longer wanted. It has to be released: otherwise it would stay
-// granted to a session that does not act on it.
+// The responses to requests for a lease are lost, and then the resource is no longer wanted. The session has to release
+// it: otherwise the resource would stay granted to a session that doesn't act on it.
 func TestSession_ReleasesInDoubtGrant(t *testing.T) {
 	requested := make(chan struct{}, 1000)
 	leader, s := startFakeLeader(t, func(int, transport.ProposeResponse) (int, []byte) {
@@ -72,7 +73,8 @@
 	require.Eventually(t, func() bool { return leader.WasRequestedAndIsFree("home/1") }, longTimeout, time.Millisecond)
 }
 
-// Raft nodes accept the connections of a large cluster: if they rejected some, sessions would expire one by one.
+// Raft nodes accept the connections of a large cluster. If they rejected some, the sessions of these members would
+// expire.
 func TestMaxConnections_SufficesForThreeHundredMembers(t *testing.T) {
 	t.Parallel()
 	_, sessions := startFakeLeaderOf(t, 300, 10*api.Second, nil)
@@ -86,7 +88,8 @@
 	}
 }
 
-// A delta to another version, or a damaged one, is not applied: the next poll requests the full snapshot.
+// A delta to a version other than the cached one is ignored. A damaged delta is not applied, and the next poll requests
+// the full snapshot.
 func TestSession_RequestsSnapshotAfterMismatchedDelta(t *testing.T) {
 	leader, s := startFakeLeader(t, nil)
 	component := func(version, base uint64, data string) transport.ComponentState {
--- a/cluster/member/session/leaderclient.go
+++ b/cluster/member/session/leaderclient.go
@@ -14,28 +14,28 @@
 	"rowanlink/cluster/transport"
 )
 
-// maxHops bounds the attempts for one node: the node itself and the leader that it names.
+// maxHops bounds the requests that start at one node: one to the node itself and one to the leader that it names.
 const maxHops = 2
 
-// LeaderClient sends requests to the raft node that leads, which it finds by their redirects. Its methods may be
-// called concurrently.
+// LeaderClient sends requests to the leading raft node, which it finds by the redirects of the others. Its methods may
+// be called concurrently.
 type LeaderClient struct {
 	client *transport.Client
 	random func() float64 // from [0, 1); called by one goroutine at a time
 
 	mu           sync.Mutex
 	nodes        []cluster.MemberID
-	leader       cluster.MemberID // by the last answer; "": not known
-	unresponsive cluster.MemberID // did not answer the last request: tried last
+	leader       cluster.MemberID // the node that answered the last request; "": not known
+	unresponsive cluster.MemberID // the node that last left a request without an answer; it is tried last
 }
 
-// NewLeaderClient returns a client for the raft nodes named. random returns numbers from [0, 1) and is called by one
+// NewLeaderClient returns a client for the given raft nodes. random returns numbers from [0, 1) and is called by one
 // goroutine at a time.
 func NewLeaderClient(client *transport.Client, nodes []cluster.MemberID, random func() float64) *LeaderClient {
 	return &LeaderClient{client: client, random: random, nodes: slices.Clone(nodes)}
 }
 
-// SetNodes replaces the raft nodes.
+// SetNodes replaces the list of raft nodes and forgets which of them leads.
 func (c *LeaderClient) SetNodes(nodes []cluster.MemberID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +55,8 @@
 )
 
 // Request sends a request to the leader and returns its response. Errors wrap transport.ErrNotSent if the request
-// certainly had no effect, and transport.ErrOutcomeUnknown if it may have had one; after the latter no other node is
-// tried.
+// certainly had no effect, and transport.ErrOutcomeUnknown if it may have had an effect. After an unknown outcome no
+// other node is tried.
 func (c *LeaderClient) Request(path string, body []byte, within time.Duration) ([]byte, error) {
 	deadline, cause := time.Now().Add(within), errNoLeader
 	for _, node := range c.attemptOrder() {
@@ -87,7 +87,7 @@
 	return nil, fmt.Errorf("%w: %w", transport.ErrNotSent, cause)
 }
 
-// namedLeader returns the leader that a node redirects to; "": none.
+// namedLeader returns the leader that a node's response redirects to, or "" if it names none or the node itself.
 func namedLeader(answer []byte, node cluster.MemberID) cluster.MemberID {
 	var elsewhere transport.NotLeaderResponse
 	if err := transport.Decode(answer, &elsewhere); err != nil || elsewhere.Leader == node {
@@ -96,8 +96,9 @@
 	return elsewhere.Leader
 }
 
-// Propose appends a command to the log and returns the result of the component that applied it and the entry's index,
-// or the error by which that component rejected it; other errors are those of Request.
+// Propose appends a command to the raft log. It returns the result of the component that applied the command and the
+// index of the log entry. If the component rejected the command, it returns the component's error; other errors are
+// those of Request.
 func (c *LeaderClient) Propose(command cluster.Command, within time.Duration) (answer []byte, index uint64, err error) {
 	raw, err := c.Request(transport.ProposePath, transport.Encode(command), within)
 	if err != nil {
@@ -110,13 +111,13 @@
 	return proposed.Result, proposed.Index, fsm.ErrorFromCode(proposed.ErrorCode)
 }
 
-// IsLeaderUnreached reports whether an error of Request or Propose says that no leader answered.
+// IsLeaderUnreached reports whether an error of Request or Propose means that no leader answered.
 func IsLeaderUnreached(err error) bool {
 	return errors.Is(err, transport.ErrNotSent) || errors.Is(err, transport.ErrOutcomeUnknown)
 }
 
-// attemptOrder returns the nodes in the order in which they are tried: the last known leader first, an unresponsive one
-// last, the others between them from a random one on.
+// attemptOrder returns the nodes in the order in which they are tried: the last known leader first, the unresponsive
+// node last, and the others in between, beginning with a random one.
 func (c *LeaderClient) attemptOrder() []cluster.MemberID {
 	nodes := c.rotatedNodes()
 	c.mu.Lock()
@@ -146,7 +147,7 @@
 	return nodes
 }
 
-// nextNode returns the node to poll: the last one as long as its responses have something new, else another one.
+// nextNode returns the node to poll next: the last one again, or another one if the last poll failed or last is "".
 func (c *LeaderClient) nextNode(last cluster.MemberID, failed bool) cluster.MemberID {
 	if last != "" && !failed {
 		return last
--- a/cluster/member/session/link_test.go
+++ b/cluster/member/session/link_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// link forwards the connections from one member to another. While it is cut it refuses and resets them.
+// link forwards the connections from one member to another. While it is cut, it resets open connections and refuses new
+// ones.
 type link struct {
 	to       string
 	listener net.Listener
@@ -41,7 +42,8 @@
 	return l
 }
 
-// forward copies both ways until one end is closed. It may do so until all cleanups of the test have run.
+// forward copies data in both directions until one end is closed. It may still be running when the test ends, until the
+// cleanups have closed the connections.
 func (l *link) forward(near net.Conn) {
 	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", l.to)
 	if err != nil || !l.add(near, far) {
@@ -63,7 +65,7 @@
 	delete(l.conns, far)
 }
 
-// add registers connections. It returns false if the link is cut, and closes them.
+// add registers connections. If the link is cut, it closes them and returns false.
 func (l *link) add(conns ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cluster/member/session/metrics.go
+++ b/cluster/member/session/metrics.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// Counters count what a session did since the process started.
+// Counters counts the events of a Session since the process started.
 type Counters struct {
 	SessionsOpened     atomic.Int64
 	SessionsLost       atomic.Int64
 	RenewalsUnanswered atomic.Int64
 	ResourcesAcquired  atomic.Int64
-	ResourcesLost      atomic.Int64 // released ones, too
+	ResourcesLost      atomic.Int64 // including those released
 	SnapshotsDelivered atomic.Int64
-	DeltasApplied      atomic.Int64 // components of the state that came as a delta
+	DeltasApplied      atomic.Int64 // updates of components that were received as deltas
 	active             atomic.Int64 // 1 while a session is open
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// WriteMetrics writes the counters, one a line, in the Prometheus text format.
+// WriteMetrics writes the counters in the Prometheus text format, one per line.
 func (s *Session) WriteMetrics(w io.Writer) {
 	c := &s.Counters
 	for _, row := range []struct {
@@ -47,6 +47,6 @@
 		{"member_news_total", c.SnapshotsDelivered.Load()},
 		{"member_changes_total", c.DeltasApplied.Load()},
 	} {
-		_, _ = fmt.Fprintf(w, "rowanlink_%s %d\n", row.name, row.value) // the scrape has ended then
+		_, _ = fmt.Fprintf(w, "rowanlink_%s %d\n", row.name, row.value) // fails only if the scraper has disconnected
 	}
 }
--- a/cluster/member/session/notify.go
+++ b/cluster/member/session/notify.go
@@ -8,8 +8,8 @@
 	"rowanlink/cluster"
 )
 
-// notifyChanges compares the leases held now with those that OnChange was last called with, and queues the calls for
-// the differences. The caller holds the lock.
+// notifyChanges compares the leases held now with those that OnChange was last told about, and queues a call of
+// OnChange for each difference. The caller holds the lock.
 func (s *Session) notifyChanges() {
 	now := s.Clock()
 	for _, resource := range slices.Sorted(maps.Keys(s.notified)) {
@@ -35,7 +35,8 @@
 	s.setActive(s.holder.IsValid(now))
 }
 
-// queueNotification has OnChange called by the notify loop: it may call the session, whose lock is held here.
+// queueNotification queues a call of OnChange for notifyLoop. OnChange can't be called here, since it may call methods
+// of the session, whose lock is held.
 func (s *Session) queueNotification(resource cluster.Resource, epoch cluster.Epoch) {
 	if s.OnChange == nil {
 		return
--- a/cluster/member/session/raftnodes_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -12,8 +12,8 @@
 	"rowanlink/cluster"
 )
 
-// A raft node that lost its folder joins as another server. Grants stay valid, and the lost server's vote is removed:
-// otherwise the rest would have no majority once another node is down.
+// A raft node that has lost its state directory joins as a new raft server. Grants stay valid, and the vote of the lost
+// server is removed: otherwise the others would have no majority once one more node is down.
 func TestRaftNode_RejoinsAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
@@ -39,8 +39,8 @@
 	require.Equal(t, epoch, awaitHeld(t, a, "home/1"))
 }
 
-// One of three nodes is behind, the first has lost its folder, the second is down. What the first and the second had
-// committed must not be lost: no node leads until the second is back.
+// Of three nodes, m3 is behind, m1 has lost its state directory and m2 is down. No node may lead until m2 is back, so
+// that no entry is lost that m1 and m2 had committed. Guards against m1 voting for m3 because it has lost its log.
 func TestRaftNode_DoesNotVoteTwiceAfterStateLoss(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, leaseTTL)
--- a/cluster/member/session/renew.go
+++ b/cluster/member/session/renew.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// renewalWait returns the time until the next renewal, or until the session expires if that is sooner:
-// otherwise nobody would be notified of the expiry. The caller holds the lock.
+// renewalWait returns the duration until the next renewal, or until the session expires if that is sooner, so that
+// OnChange is called for the leases that are lost by the expiry. The caller holds the lock.
 func (s *Session) renewalWait(now api.Micros) api.Micros {
 	wait := s.holder.NextRenewalAt() - now
 	if s.holder.IsValid(now) {
@@ -47,8 +47,8 @@
 	return wait
 }
 
-// requestRenewal sends one request to the leader, to open a session where session is 0 and else to renew it, and
-// returns whether the session is open by its answer.
+// requestRenewal sends one request to the leader and returns whether the session is open by its response. The request
+// opens a session if session is 0, and otherwise renews it.
 func (s *Session) requestRenewal(renewal lease.Renewal, session cluster.SessionID, digest lease.Digest) bool {
 	answer, err := s.exchangeRenewal(session, digest)
 	if err == nil && answer.ErrorCode != 0 {
@@ -56,7 +56,8 @@
 		s.dropSession(session)
 	}
 	if err == nil && answer.TTL < s.LeaseTTL {
-		// With a longer TTL this member would act on leases that the raft nodes have granted to another.
+		// With a longer TTL than the raft nodes use, this member would act on leases that they have already granted to
+		// another member.
 		slog.Error("the raft nodes use a shorter lease TTL: no session is opened", "ttl_us", s.LeaseTTL,
 			"raft_node_ttl_us", answer.TTL)
 		return false
@@ -108,7 +109,7 @@
 	}
 }
 
-// dropSession gives up a session that a raft node has rejected, with all its leases.
+// dropSession gives up a session that a raft node has rejected, and all leases that belong to it.
 func (s *Session) dropSession(session cluster.SessionID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/session/session.go
+++ b/cluster/member/session/session.go
@@ -1,7 +1,7 @@
-// Package session is the client side of leases: it keeps a member's session with the leading raft node open, acquires
-// and releases the leases of resources by it, and follows components of the replicated state.
+// Package session is the client side of leases. It keeps a member's session with the leading raft node open, acquires
+// and releases leases on resources, which belong to the session, and watches components of the replicated state.
 //
-// The rules for when a lease may be acted on are those of package lease; this package adds goroutines, the clock and
+// Package lease has the rules for when a member may act on a lease. This package adds the goroutines, the clock and the
 // requests to the raft nodes.
 package session
 
@@ -16,21 +16,21 @@
 	"rowanlink/webhook/api"
 )
 
-// Config is what a Session is made from.
+// Config holds the settings and dependencies of a Session.
 type Config struct {
 	Self          cluster.MemberID
-	Incarnation   lease.Incarnation // random, another one for each start of the process
+	Incarnation   lease.Incarnation // random, new at each start of the process
 	LeaseTTL      api.Micros
-	MaxClockDrift float64           // the most by which the rates of two clocks differ, as a fraction
+	MaxClockDrift float64           // maximum difference between the rates of two clocks, as a fraction
 	Clock         func() api.Micros // monotonic
 	Leader        *LeaderClient
 	// OnChange is called for each resource that the session has acquired, with the epoch of the grant, and for each
-	// that it has lost or released, with epoch 0. It runs on a goroutine of the session's own, one call at a time, and
-	// may call the session. nil: not called.
+	// resource that it has lost or released, with epoch 0. It is called from a goroutine of the session, one call at a
+	// time, and may call methods of the session. It may be nil.
 	OnChange func(resource cluster.Resource, epoch cluster.Epoch)
 }
 
-// Session keeps a member's session open and the leases that belong to it. All methods may be called concurrently.
+// Session keeps a member's session open, with the leases that belong to it. All methods may be called concurrently.
 type Session struct {
 	Counters
 	Config
@@ -38,25 +38,25 @@
 	mu         sync.Mutex
 	holder     *lease.Holder
 	reconciler *lease.Reconciler
-	notified   map[cluster.Resource]cluster.Epoch // the state that OnChange was last called with
+	notified   map[cluster.Resource]cluster.Epoch // resources that OnChange was last told are held, with their epochs
 	watchers   map[cluster.ComponentID]*watcher   // by component of the replicated state
 
-	// hasFreed is set when a raft node reports that a resource became free. All waiting members get that report at
-	// once, so the next request for a grant is delayed by a random jitter.
-	hasFreed      bool
-	notifications []func() // calls of OnChange that are queued
+	// resourceFreed is set when a raft node reports that a resource became free. All members that wait for the resource
+	// get this report at the same time, so the next request for a grant is delayed by a random jitter.
+	resourceFreed bool
+	notifications []func() // queued calls of OnChange
 
-	acquireWake wakeup.Signal // the acquire loop has something to propose
-	pollWake    wakeup.Signal // the watch loop has something to poll for
-	notifyWake  wakeup.Signal // notifications are queued
-	deliverWake wakeup.Signal // a watcher has a pending snapshot
+	acquireWake wakeup.Signal // sent when the acquire loop may have something to propose
+	pollWake    wakeup.Signal // sent when the watch loop may have something to poll for
+	notifyWake  wakeup.Signal // sent when notifications are queued
+	deliverWake wakeup.Signal // sent when a watcher has a pending snapshot
 
-	ended     chan struct{}
-	done      sync.WaitGroup
-	deliverMu sync.Mutex // held while a watcher's callback runs
+	ended     chan struct{}  // closed by Close
+	done      sync.WaitGroup // the goroutines that Close waits for
+	deliverMu sync.Mutex     // held while a watcher's callback runs
 }
 
-// New returns a session that has begun to open itself. It has to be closed.
+// New returns a Session and starts the goroutines that open it. The caller must call Close.
 func New(c Config) *Session {
 	holder := lease.NewHolder(c.LeaseTTL, c.MaxClockDrift)
 	s := &Session{
@@ -75,11 +75,12 @@
 	s.done.Go(s.renewLoop)
 	s.done.Go(s.acquireLoop)
 	go s.watchLoop()   // Close doesn't wait for a poll in flight
-	go s.deliverLoop() // Close waits only for the callback that is running
+	go s.deliverLoop() // Close waits only for a callback that is running
 	return s
 }
 
-// Acquire requests the lease of a resource until it is granted, and again whenever it was lost, until Release.
+// Acquire requests the lease on a resource until it is granted, and again whenever the lease is lost, until Release or
+// CancelAcquire is called.
 func (s *Session) Acquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,15 +90,16 @@
 	}
 }
 
-// CancelAcquire stops requesting a resource that was not granted; a granted one is held until Release. It is cheap, as
-// it is called for each range at each reconciliation of ownership.
+// CancelAcquire stops requesting a resource that was not granted. A resource that was granted stays held until Release.
+// CancelAcquire must be cheap, since each reconciliation of ownership calls it for many ranges.
 func (s *Session) CancelAcquire(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reconciler.CancelRequest(resource)
 }
 
-// Release gives up a resource at once; its release is proposed to the raft nodes in the background.
+// Release gives up a resource: Holds returns false for it at once. The release is proposed to the raft nodes in the
+// background.
 func (s *Session) Release(resource cluster.Resource) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,16 +115,17 @@
 	return s.reconciler.Requested()
 }
 
-// Holds reads the clock and returns the epoch of the lease that is held on the resource now; false: none is.
+// Holds returns the epoch of the lease that is held on a resource now, by the member's clock, and false if none is
+// held.
 func (s *Session) Holds(resource cluster.Resource) (cluster.Epoch, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holder.Epoch(resource, s.Clock())
 }
 
-// DoWhileHeld calls do if the resource is held, and returns whether it was. do has to call stillHeld right before it
-// writes the last byte of what it sends, and must not write that if it returns false: a third party can't fence what
-// arrives later.
+// DoWhileHeld calls do if the resource is held, and returns whether it was held. do must call stillHeld right before it
+// writes the last byte of a request, and must not write that byte if stillHeld returns false. A request that is
+// completed after the lease has expired is not rejected by a receiver that doesn't check fencing tokens.
 func (s *Session) DoWhileHeld(resource cluster.Resource, do func(epoch cluster.Epoch, stillHeld func() bool)) bool {
 	epoch, held := s.Holds(resource)
 	if !held {
@@ -135,7 +138,7 @@
 	return true
 }
 
-// Propose proposes a command as LeaderClient.Propose does, within the time-out for requests that are logged.
+// Propose proposes a command as LeaderClient.Propose does, within the time-out for requests that write to the raft log.
 func (s *Session) Propose(command cluster.Command) (answer []byte, err error) {
 	answer, _, err = s.Leader.Propose(command, timing.LoggedRequestTimeout(s.LeaseTTL).Duration())
 	return answer, err
@@ -148,8 +151,8 @@
 	return s.holder.IsValid(s.Clock())
 }
 
-// Close releases all leases and ends the session in the log, so that nobody has to wait for its TTL.
-// No callback runs once Close has returned.
+// Close releases all leases and ends the session in the raft log, so that no other member has to wait until the session
+// expires. No callback runs once Close has returned.
 func (s *Session) Close() {
 	s.mu.Lock()
 	if s.isClosed() {
@@ -157,12 +160,12 @@
 		return
 	}
 	session := s.holder.EndSession()
-	s.active.Store(0) // a session that is closed is not counted as lost
+	s.active.Store(0) // so that setActive doesn't count the closed session as lost
 	s.notifyChanges()
 	close(s.ended)
 	s.mu.Unlock()
 	if session != 0 {
-		// If this fails the session ends by its TTL.
+		// If this fails, the session ends when its TTL expires.
 		_, _, _ = s.Leader.Propose(lease.EndSession(session), timing.RequestTimeout(s.LeaseTTL).Duration())
 	}
 	s.done.Wait()
@@ -182,7 +185,7 @@
 	}
 }
 
-// sleep waits for a time and returns true, or returns false as soon as the session is closed.
+// sleep waits for a duration and returns true, or returns false as soon as the session is closed.
 func (s *Session) sleep(t api.Micros) bool {
 	timer := time.NewTimer(t.Duration())
 	defer timer.Stop()
--- a/cluster/member/session/session_test.go
+++ b/cluster/member/session/session_test.go
@@ -35,7 +35,7 @@
 	require.Greater(t, awaitHeld(t, a, "home/1"), second)
 }
 
-// Guards against an entry in the log for each renewal, or for each request for what another holds.
+// Guards against a log entry for each renewal, or for each request for a resource that another session holds.
 func TestSession_IdleSessionsWriteNoLogEntries(t *testing.T) {
 	c := startCluster(t, leaseTTL/2)
 	a := c.startSession("a", "home/1")
@@ -48,10 +48,10 @@
 	require.Eventually(t, func() bool {
 		return late.IsActive() && leader.RenewalsAccepted.Load() >= renewed+15
 	}, longTimeout, time.Millisecond)
-	require.Equal(t, entries+1, leader.LastIndex()) // the opening of the late one's session
+	require.Equal(t, entries+1, leader.LastIndex()) // the entry that opens c's session
 }
 
-// A leader that is partitioned from the other raft nodes renews no session: another may lead by then.
+// A leader that is partitioned from the other raft nodes renews no session, since another node may already lead.
 func TestRaftNode_PartitionedLeaderRenewsNoSession(t *testing.T) {
 	c := startCluster(t, leaseTTL)
 	leader := c.awaitLeader()
@@ -129,7 +129,7 @@
 	awaitHeld(t, b, "home/2")
 }
 
-// All raft nodes end and start again from what they have on disk: the session and its leases are there.
+// All raft nodes stop and start again from their disks. The session and its leases are preserved.
 func TestSession_LeasesOutliveARestartOfAllRaftNodes(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 4*leaseTTL)
@@ -172,7 +172,7 @@
 	}
 	b := c.startSession("b", "home/1")
 	awaitDelivered(b, "home/1")
-	for i, m := range c.names { // a node that is partitioned has nothing new
+	for i, m := range c.names { // guards against polling only a partitioned node, which never has new state
 		c.partition(m, c.names...)
 		resource := cluster.RangeOwnerResource(cluster.RangeID(10 + i))
 		b.Acquire(resource)
@@ -184,7 +184,7 @@
 		many = append(many, cluster.RangeOwnerResource(cluster.RangeID(100+i)))
 		b.Acquire(many[i])
 	}
-	for i, resource := range append(many, "home/13", "home/14") { // guards against a full snapshot at each step
+	for i, resource := range append(many, "home/13", "home/14") { // guards against a full snapshot after each change
 		if i >= len(many) {
 			b.Acquire(resource)
 		}
--- a/cluster/member/session/unfencedgap_test.go
+++ b/cluster/member/session/unfencedgap_test.go
@@ -19,16 +19,16 @@
 	"rowanlink/test/fake/raftleader"
 )
 
-// gaps are the times that a lease holder measured between its last check of the lease and the return of the last byte's
-// write.
+// gaps summarizes the gaps that a lease holder measured. A gap is the time from the last check of the lease until the
+// write of the last byte has returned.
 type gaps struct {
 	Actions    int
 	WithStop   int // gaps in which the process was stopped
-	AfterLease int // of those, gaps that ended after the lease had expired
+	AfterLease int // gaps counted in WithStop that ended after the lease had expired
 	Median     time.Duration
 	Worst      time.Duration
-	Sum        time.Duration // of all gaps
-	Busy       time.Duration // of all actions
+	Sum        time.Duration // total duration of the gaps
+	Busy       time.Duration // total duration of the actions
 }
 
 const (
@@ -36,7 +36,8 @@
 	gapStop    = "ROWANLINK_GAP_STOP"    // in the format of time.ParseDuration
 )
 
-// TestUnfencedGapHolder is the process that BenchmarkUnfencedGap stops; by itself it does nothing.
+// TestUnfencedGapHolder is the lease holder that BenchmarkUnfencedGap runs as a process of its own and stops
+// repeatedly. In other test runs it is skipped.
 func TestUnfencedGapHolder(t *testing.T) {
 	to := os.Getenv(gapPartner)
 	if to == "" {
@@ -89,9 +90,10 @@
 	}
 }
 
-// BenchmarkUnfencedGap measures the gap that no fencing token covers. A process that holds a lease writes to a partner,
-// action after action, and is stopped with SIGSTOP at random times for longer than its lease TTL. Reported are the
-// lengths of the gap and how many of the stops fall into it.
+// BenchmarkUnfencedGap measures the gap between the last check of a lease and the end of a write, in which a receiver
+// that checks no fencing token is unprotected. A process that holds a lease writes to a partner, one action after the
+// other, and is stopped with SIGSTOP at random times for longer than its lease TTL. The benchmark reports the lengths
+// of the gap and how many of the stops fall into it.
 func BenchmarkUnfencedGap(b *testing.B) {
 	for _, stop := range []time.Duration{0, leaseTTL.Duration() * 5 / 4} {
 		b.Run("stop="+stop.String(), func(b *testing.B) { benchmarkUnfencedGap(b, stop) })
@@ -121,7 +123,7 @@
 	require.NoError(b, conn.Close())
 	var measured gaps
 	require.NoError(b, json.NewDecoder(out).Decode(&measured))
-	_, _ = io.Copy(io.Discard, out) // what the test prints besides
+	_, _ = io.Copy(io.Discard, out) // the rest of the test's output
 	require.NoError(b, child.Wait())
 	b.ReportMetric(float64(measured.Actions), "deeds")
 	b.ReportMetric(float64(measured.Median)/1e3, "us-median")
--- a/cluster/member/session/watch.go
+++ b/cluster/member/session/watch.go
@@ -11,18 +11,18 @@
 	"rowanlink/cluster/transport"
 )
 
-// watcher follows one component of the replicated state.
+// watcher watches one component of the replicated state.
 type watcher struct {
-	version          uint64 // of snapshot
+	version          uint64 // version of snapshot; 0: the next poll requests a full snapshot
 	snapshot         []byte
 	deliver          func(version uint64, snapshot []byte)
 	pending          bool   // snapshot was not delivered yet
-	deliveredVersion uint64 // of the last snapshot that was
+	deliveredVersion uint64 // version of the last snapshot that was delivered
 }
 
-// Watch delivers newer snapshots of a component of the replicated state, always the newest; those between may be
-// skipped. Callbacks run one at a time. One that blocks delays those of other components but no poll, so that a
-// resource that becomes free is still acquired meanwhile.
+// Watch calls deliver with new snapshots of a component of the replicated state. It always delivers the newest one and
+// may skip those in between. Only one callback runs at a time, for all components. A callback that blocks delays the
+// callbacks of other components, but no poll, so that a resource that becomes free is still acquired meanwhile.
 func (s *Session) Watch(component cluster.ComponentID, deliver func(version uint64, snapshot []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,8 +30,8 @@
 	s.pollWake.Send()
 }
 
-// watchLoop long-polls the raft nodes for newer state and freed resources. It goes to another node after each poll that
-// brought nothing: one that is partitioned from the others never has anything new.
+// watchLoop long-polls the raft nodes for newer state and freed resources. It changes to another node after each poll
+// that returned nothing new, since a node that is partitioned from the others never has anything new.
 func (s *Session) watchLoop() {
 	node, failures := cluster.MemberID(""), 0
 	for !s.isClosed() {
@@ -96,8 +96,8 @@
 	}
 }
 
-// applyComponent takes a newer version of a component. If a delta doesn't apply, the next poll requests the full
-// snapshot.
+// applyComponent stores a newer version of a component, which is a full snapshot or a delta to the version stored here.
+// If a delta can't be applied, the next poll requests the full snapshot.
 func (s *Session) applyComponent(state transport.ComponentState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +122,7 @@
 	s.deliverWake.Send()
 }
 
-// deliverLoop calls the watchers' callbacks.
+// deliverLoop calls the watchers' callbacks until the session is closed.
 func (s *Session) deliverLoop() {
 	for {
 		select {
@@ -150,7 +150,8 @@
 	return true
 }
 
-// nextDelivery marks the first pending snapshot as delivered and returns it with its callback; nil: none is pending.
+// nextDelivery marks one pending snapshot as delivered and returns it with its callback. The callback is nil if no
+// snapshot is pending.
 func (s *Session) nextDelivery() (deliver func(uint64, []byte), version uint64, snapshot []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/session/workload.go
+++ b/cluster/member/session/workload.go
@@ -15,10 +15,12 @@
 	"rowanlink/webhook/api"
 )
 
-// RunLeaseWorkload has the session acquire resources and act on them, for tests only: env names, by ROWAN_GUARD, the
-// host:port of the lease checker (test/checker/leasecheck) to which the begin and the end of each action are reported,
-// by ROWAN_GUARD_TASKS the resources, separated by commas, and by ROWAN_GUARD_FENCE=1 that the checker rejects outdated
-// epochs. Without ROWAN_GUARD it does nothing.
+// RunLeaseWorkload makes the session acquire resources and act on them while they are held. It is for tests only and is
+// controlled by environment variables, which env returns:
+//   - ROWAN_GUARD: the host:port of the lease checker (test/checker/leasecheck), to which the begin and the end of each
+//     action are reported. Without it RunLeaseWorkload does nothing.
+//   - ROWAN_GUARD_TASKS: the resources, separated by commas.
+//   - ROWAN_GUARD_FENCE: with 1, the checker rejects outdated epochs.
 func (s *Session) RunLeaseWorkload(env func(string) string) {
 	checker := env("ROWAN_GUARD")
 	if checker == "" {
@@ -33,7 +35,8 @@
 	}
 }
 
-// An action lasts up to a tenth of the lease TTL, and so does the delay between two.
+// workloadDelayDivisor sets the maximum duration of an action, and of the pause between two actions:
+// LeaseTTL/workloadDelayDivisor.
 const workloadDelayDivisor = 10
 
 func (s *Session) workloadLoop(checker string, resource cluster.Resource, fenced bool) {
@@ -58,15 +61,15 @@
 	return 1 + api.Micros(s.Leader.drawRandom()*float64(s.LeaseTTL/workloadDelayDivisor))
 }
 
-// reportToChecker sends a request to the lease checker and returns whether it was accepted. It writes the last byte
-// only if the resource is still held right before.
+// reportToChecker sends a request to the lease checker and returns whether the checker accepted it. It writes the last
+// byte only if stillHeld returns true right before.
 func (s *Session) reportToChecker(checker, action string, query url.Values, stillHeld func() bool) bool {
 	dialer := net.Dialer{Timeout: s.LeaseTTL.Duration()}
 	conn, err := dialer.DialContext(context.Background(), "tcp", checker)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the answer was read or is not needed
+	defer func() { _ = conn.Close() }() // the response was read or is not needed
 	request := fmt.Sprintf("POST /%s?%s HTTP/1.1\r\nHost: %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		action, query.Encode(), checker)
 	if conn.SetDeadline(time.Now().Add(s.LeaseTTL.Duration())) != nil {
--- a/cluster/member/session/workload_test.go
+++ b/cluster/member/session/workload_test.go
@@ -14,7 +14,8 @@
 	"rowanlink/cluster"
 )
 
-// Actions go on from one holder to the next: none is reported after its holder's lease TTL.
+// When a holder is partitioned, the next holder continues with the actions. Once the next holder has reported one, the
+// earlier holder reports none.
 func TestRunLeaseWorkload_ActsOnlyWhileTheLeaseIsHeld(t *testing.T) {
 	var mu sync.Mutex
 	var reports []string
