--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -1,5 +1,6 @@
-// Package coordinator runs the rebalancing plan, at the member that holds the coordinator's lease: it initializes the
-// shard map, fails over ranges whose owner is lost, advances moves, and adopts and executes the operators' plan.
+// Package coordinator runs the rebalance coordinator at the member that holds the coordinator's lease. The coordinator
+// initializes the shard map, fails over ranges whose owner is lost, advances moves, and adopts and executes the plan
+// that the operator file states.
 package coordinator
 
 import (
@@ -17,15 +18,16 @@
 	"rowanlink/webhook/api"
 )
 
-// MapSource has the newest shard map; nil: none yet.
+// MapSource provides the newest shard map, or nil if there is none yet.
 type MapSource interface{ Map() *shardmap.Map }
 
-// ImpactSource has what was collected of the health of a plan.
+// ImpactSource provides the impact of a plan on the webhooks, as far as it was collected from the members. plan is the
+// plan's number.
 type ImpactSource interface {
 	Impact(plan uint64) rebalance.Impact
 }
 
-// Config is what a Coordinator is made from.
+// Config holds the dependencies of a Coordinator.
 type Config struct {
 	Session  *session.Session
 	Maps     MapSource
@@ -33,23 +35,23 @@
 	LeaseTTL api.Micros
 }
 
-// Coordinator runs the plan while this member holds the coordinator's lease. Its decisions depend only on replicated
-// state, except for how long a range has had no owner and when the last move ended: the next coordinator counts these
-// from its own start, which only delays what it does. It is not safe for concurrent use.
+// Coordinator acts while this member holds the coordinator's lease. Its decisions depend only on replicated state, with
+// two exceptions: for how long a range has had no owner, and when the last move ended. A new coordinator measures these
+// from its own start, which only delays its decisions. A Coordinator is not safe for concurrent use.
 type Coordinator struct {
 	Config
 	failover *shardmap.FailoverPlanner
-	leases   *lease.Table        // replicated; nil: not known yet
-	progress *rebalance.Progress // of the running plan, replicated; nil: not known yet
+	leases   *lease.Table        // the replicated leases; nil: not known yet
+	progress *rebalance.Progress // the replicated progress of the running plan; nil: not known yet
 
-	epoch           cluster.Epoch // of this member's lease; 0: it doesn't coordinate
-	openMoves       int           // at the last Run
-	idleSince       api.Micros    // since when no move has ended
-	leaderUnreached bool          // no leader answered in this Run: it proposes nothing more
+	epoch           cluster.Epoch // epoch of the coordinator's lease; 0: this member doesn't coordinate
+	openMoves       int           // number of open moves at the last Run
+	idleSince       api.Micros    // when the last move ended, or when this member became the coordinator if that is later
+	leaderUnreached bool          // no leader answered in this Run, which therefore proposes nothing more
 	unconfirmed     steplog.Unconfirmed
 }
 
-// New returns a Coordinator that knows neither leases nor progress.
+// New returns a Coordinator. It does nothing before SetLeases is called.
 func New(c Config) *Coordinator {
 	return &Coordinator{Config: c, failover: shardmap.NewFailoverPlanner(c.LeaseTTL)}
 }
@@ -63,20 +65,21 @@
 // PlanRequest is the plan that the operator file states.
 type PlanRequest struct {
 	Text   []byte
-	Groups []shardmap.PlacementGroup // the sites' subscribers
-	Fresh  bool                      // the file was reloaded: it replaces the running plan
-	// Resumes is the number of the plan that was stopped when the file was read; 0: none. A file resumes a stopped plan,
-	// even if it is unchanged, only if it was read after the stop, whichever member coordinates.
+	Groups []shardmap.PlacementGroup // the subscribers of each site, which are placed together
+	Fresh  bool                      // the file was reloaded, so that its plan replaces the running one
+	// Resumes is the number of the plan that was stopped when the file was read, or 0 if none was. A stopped plan is
+	// resumed only by a file that was read after the stop, even if the file is unchanged; it doesn't matter which member
+	// coordinates.
 	Resumes uint64
 }
 
-// Candidates are the members of the operator file, and the number of ranges of the initial shard map.
+// Candidates holds the members that the operator file lists, and the number of ranges of the initial shard map.
 type Candidates struct {
 	Members []shardmap.Candidate
 	Ranges  int
 }
 
-// StoppedPlan returns the number of the running plan if it is stopped, and else 0.
+// StoppedPlan returns the number of the current plan if it is stopped, and otherwise 0.
 func (c *Coordinator) StoppedPlan() uint64 {
 	if c.progress == nil || c.progress.StopReason == "" {
 		return 0
@@ -84,7 +87,7 @@
 	return c.progress.Number
 }
 
-// runningPlan returns the number of the replicated plan; 0: none.
+// runningPlan returns the number of the replicated plan, or 0 if there is none. The plan may be stopped.
 func (c *Coordinator) runningPlan() uint64 {
 	if c.progress == nil {
 		return 0
@@ -92,8 +95,9 @@
 	return c.progress.Number
 }
 
-// Run proposes what is due at a time of the member's monotonic clock, and returns whether the request was adopted or
-// needs no adoption. If the shard map has to change first, the Run after that change continues.
+// Run proposes the commands that are due now, by the member's monotonic clock. It returns whether the request is dealt
+// with: it was adopted, was rejected as invalid, or equals the running plan. If the shard map has to change first, Run
+// proposes only that change, and the next Run continues.
 func (c *Coordinator) Run(request PlanRequest, candidates Candidates, now api.Micros) (adopted bool) {
 	shardMap := c.Maps.Map()
 	c.confirmSteps(shardMap)
@@ -125,8 +129,7 @@
 	return adopted
 }
 
-// coordinates records the epoch by which this member coordinates. It returns false if it doesn't, or doesn't know the
-// leases yet.
+// coordinates reports whether this member is the coordinator and knows the leases, and records the epoch of its lease.
 func (c *Coordinator) coordinates(now api.Micros) bool {
 	epoch, held := c.Session.Holds(cluster.CoordinatorResource)
 	c.leaderUnreached = false
@@ -149,7 +152,7 @@
 	return weights
 }
 
-// aliveMembers returns the members with a session.
+// aliveMembers returns the members that have a session.
 func (c *Coordinator) aliveMembers() map[cluster.MemberID]bool {
 	alive := map[cluster.MemberID]bool{}
 	for _, s := range c.leases.Sessions() {
@@ -158,13 +161,14 @@
 	return alive
 }
 
-// isGrantEnded reports whether the grant by which a misplaced destination was served has ended.
+// isGrantEnded reports whether the lease grant by which a misplaced destination may have been served has ended.
 func (c *Coordinator) isGrantEnded(m shardmap.MisplacedDestination) bool {
 	holder, held := c.leases.Holder(cluster.RangeOwnerResource(m.Grant.Range))
 	return !held || holder.Epoch != m.Grant.Epoch
 }
 
-// advanceMoves advances moves to the hand-off, which their source and target complete.
+// advanceMoves advances open moves up to the hand-off step, from which their source and target complete them. It also
+// records when a move has ended.
 func (c *Coordinator) advanceMoves(by shardmap.Coordinator, shardMap *shardmap.Map, now api.Micros) {
 	open := 0
 	for _, r := range shardMap.Ranges {
@@ -185,7 +189,8 @@
 	c.openMoves = open
 }
 
-// confirmSteps logs the steps that the map shows as taken after all, also if another member coordinates by now.
+// confirmSteps logs the steps whose proposals had an unknown outcome and that the map now shows as taken. It does so
+// even if another member coordinates by now.
 func (c *Coordinator) confirmSteps(shardMap *shardmap.Map) {
 	if shardMap == nil {
 		return
@@ -201,7 +206,8 @@
 	c.proposeStep(event, r.ID, isTaken, by.AdvanceMove(r.Move.ID, to), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
 }
 
-// proposeStep proposes a step of a range's move. One with an unknown outcome is logged once isTaken shows it.
+// proposeStep proposes a step of a range's move and logs it as event. If the outcome of the proposal is unknown, the
+// step is logged later, once isTaken reports that the map shows it as taken.
 func (c *Coordinator) proposeStep(event string, id cluster.RangeID, isTaken func(shardmap.Range) bool,
 	command cluster.Command, fields ...any) {
 	switch err := c.tryPropose(event, command, fields...); {
@@ -212,13 +218,13 @@
 	}
 }
 
-// propose proposes a command and logs what it did. It returns false if the command was rejected or may not be in the
-// log. A rejection means that the state has changed meanwhile, which the next Run sees.
+// propose proposes a command and logs it as event. It returns false if the command was rejected or may not be in the
+// raft log. A rejected command means that the state has changed meanwhile; the next Run uses the new state.
 func (c *Coordinator) propose(event string, command cluster.Command, fields ...any) bool {
 	return c.tryPropose(event, command, fields...) == nil
 }
 
-// tryPropose is propose with the reason why the command may not be in the log.
+// tryPropose is like propose, but returns the error by which the command was rejected or may not be in the raft log.
 func (c *Coordinator) tryPropose(event string, command cluster.Command, fields ...any) error {
 	if c.leaderUnreached {
 		return transport.ErrNotSent
--- a/cluster/member/coordinator/coordinator_test.go
+++ b/cluster/member/coordinator/coordinator_test.go
@@ -8,8 +8,9 @@
 	"rowanlink/cluster/rebalance"
 )
 
-// A plan that was stopped does not resume by itself when another member becomes the coordinator, whose unchanged file
-// was read before the stop.
+// Guards against a stopped plan that resumes by itself when another member becomes the coordinator: that member has
+// read the unchanged file before the stop. The assertion of a panic shows that adopt goes on to compute the steps, for
+// which this test has no shard map.
 func TestAdopt_ResumesStoppedPlanOnlyAfterReload(t *testing.T) {
 	text := []byte("member \"a\" {}\n")
 	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: planName, Text: text, StopReason: "late"}}
@@ -18,5 +19,5 @@
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
 		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 2}, nil))
 	})
-	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "the steps are computed")
+	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "it computes the steps")
 }
--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -14,11 +14,11 @@
 	"rowanlink/webhook/api"
 )
 
-// planName is how errors and the log name the plan's text.
+// planName stands for the name of the plan's file in errors and in the log.
 const planName = "plan"
 
-// remainingMembers returns the members that the running plan does not drain, so that no range is failed over to a
-// member whose steps are done already. If none of them is alive it returns all members.
+// remainingMembers returns the members that the running plan does not drain. A range that failed over to a member whose
+// drain steps are already done would stay there. If none of the remaining members is alive, it returns all members.
 func (c *Coordinator) remainingMembers(members []shardmap.Candidate,
 	alive map[cluster.MemberID]bool) (remaining []shardmap.Candidate) {
 	if c.runningPlan() == 0 {
@@ -43,7 +43,8 @@
 	return remaining
 }
 
-// adopt proposes the requested plan if it differs from the running one. It returns false if it has to be tried again.
+// adopt proposes the requested plan if it differs from the running one, or resumes it. It returns false if the request
+// is not dealt with yet and the next Run has to try again.
 func (c *Coordinator) adopt(request PlanRequest, shardMap *shardmap.Map) bool {
 	number := c.runningPlan()
 	if number != 0 && !request.Fresh {
@@ -64,8 +65,9 @@
 	return c.makePlan(requested, request.Text, number, shardMap)
 }
 
-// makePlan computes the steps and proposes them. It returns false if a range has to end its move first, or if the
-// proposal failed.
+// makePlan computes the steps of a plan and proposes the plan. number is that of the plan that it replaces. makePlan
+// returns false if the move of a range has to end first, which it then proposes to roll back if the move has not
+// switched yet, or if the proposal failed.
 func (c *Coordinator) makePlan(file *planfile.File, text []byte, number uint64, shardMap *shardmap.Map) bool {
 	plan, err := rebalance.NewPlan(file, shardMap, nil)
 	var moving *rebalance.RangeMovingError
@@ -84,7 +86,7 @@
 		"steps", len(plan.Steps))
 }
 
-// runPlan proposes the due actions of the running plan.
+// runPlan proposes the actions of the running plan that are due.
 func (c *Coordinator) runPlan(by shardmap.Coordinator, shardMap *shardmap.Map, alive map[cluster.MemberID]bool,
 	now api.Micros) {
 	if c.runningPlan() == 0 {
--- a/cluster/member/peer/client.go
+++ b/cluster/member/peer/client.go
@@ -17,23 +17,24 @@
 	transport *transport.Client
 
 	mu           sync.Mutex
-	incarnations map[cluster.MemberID]uint64 // of the members' folders, by their last replies; 0: not known
+	incarnations map[cluster.MemberID]uint64 // of the members' custody directories, by their last replies; 0: not known
 }
 
-// NewClient returns a client over the member's connections.
+// NewClient returns a Client that sends over the connections of t.
 func NewClient(t *transport.Client) *Client {
 	return &Client{transport: t, incarnations: map[cluster.MemberID]uint64{}}
 }
 
 // SendResult is the result of a transfer.
 type SendResult struct {
-	Outcomes    []Outcome // one for each webhook; nil where there is an error
-	Incarnation uint64    // of the folder that the transfer was last sent to
+	Outcomes    []Outcome // one for each webhook; nil after an error
+	Incarnation uint64    // the incarnation that the transfer was last addressed to
 }
 
-// Send sends a transfer to a member and returns its reply. If the member's folder has another incarnation than was
-// known, nothing was accepted; with retry the transfer is sent once more, to that incarnation. An error that wraps
-// transport.ErrNotSent means that nothing was accepted; after any other error webhooks may have been.
+// Send sends a transfer to a member and returns its reply. If the member's custody directory has another incarnation
+// than the client knew, nothing was accepted; with retry the transfer is sent once more, addressed to the new
+// incarnation. An error that wraps transport.ErrNotSent means that no webhook was accepted. After any other error,
+// webhooks may have been accepted.
 func (c *Client) Send(to cluster.MemberID, path string, t Transfer, within api.Micros, retry bool) (SendResult, error) {
 	for {
 		t.Incarnation = c.Incarnation(to)
@@ -48,7 +49,7 @@
 				retry = false
 				continue
 			}
-			return result, fmt.Errorf("%w: the member has a new folder", transport.ErrNotSent)
+			return result, fmt.Errorf("%w: the member has a new custody directory", transport.ErrNotSent)
 		case len(reply.Outcomes) != len(t.Webhooks):
 			return result, fmt.Errorf("%w: %d outcomes", transport.ErrOutcomeUnknown, len(reply.Outcomes))
 		}
@@ -70,7 +71,8 @@
 	return reply, err
 }
 
-// QueryCustody queries a member for the custody of webhooks. Without an error there is one reply for each query.
+// QueryCustody asks a member for the custody of webhooks and returns its replies, normally one for each query. The
+// caller checks their number.
 func (c *Client) QueryCustody(at cluster.MemberID, queries []CustodyQuery, within api.Micros) (
 	replies []shardmap.CustodyReply, err error) {
 	response, err := c.transport.Call(at, QueryPath, transport.Encode(queries), within.Duration())
@@ -81,7 +83,8 @@
 	return replies, err
 }
 
-// Incarnation returns the incarnation of a member's folder by its last reply; 0: not known.
+// Incarnation returns the incarnation of a member's custody directory according to its last reply, or 0 if it is not
+// known.
 func (c *Client) Incarnation(of cluster.MemberID) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cluster/member/peer/client_test.go
+++ b/cluster/member/peer/client_test.go
@@ -17,8 +17,8 @@
 
 const timeout = 5 * api.Second
 
-// startPeer starts a member "b" whose folder has an incarnation, and returns a client that doesn't know it yet and the
-// incarnations that transfers name.
+// startPeer starts a member "b" whose custody directory has the given incarnation. It returns a client that doesn't
+// know the incarnation yet, and a channel of the incarnations that the received transfers are addressed to.
 func startPeer(t *testing.T, incarnation uint64) (*Client, <-chan uint64) {
 	t.Helper()
 	named := make(chan uint64, 9)
@@ -46,7 +46,8 @@
 	return NewClient(connections), named
 }
 
-// A reply of a new folder is not taken for that of the one that it replaces: only the latter knew what it had accepted.
+// A member that has lost its custody directory and replies with a new one doesn't know what it accepted before. The
+// client must not mistake this reply for an answer to the offers addressed to the lost directory.
 func TestClient_SendToNewIncarnation(t *testing.T) {
 	transfer := Transfer{Webhooks: make([]shardmap.TransferredWebhook, 2)}
 	client, named := startPeer(t, 7)
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -1,5 +1,7 @@
-// Package peer has the messages by which members transfer webhooks to each other, and a client that distinguishes the
-// incarnations of a member's folder, so that a reply about a lost folder is not taken for one about its replacement.
+// Package peer defines the messages by which members transfer webhooks to each other, and a client for them. Each
+// message names the incarnation of the receiver's custody directory that it is meant for. A member that has lost its
+// directory no longer knows what it accepted; the incarnation shows that its replies say nothing about the offers
+// before.
 package peer
 
 import (
@@ -13,19 +15,20 @@
 // The HTTP paths that members serve for each other.
 const (
 	WebhookPath  = "/fleet/webhook"   // a Transfer of one webhook, from the member that its client sent it to
-	TransferPath = "/fleet/move/owed" // a Transfer of pending webhooks, or of what was learned
-	QueryPath    = "/fleet/settle"    // []CustodyQuery, answered with []shardmap.CustodyReply
+	TransferPath = "/fleet/move/owed" // a Transfer of pending webhooks, or of learned state
+	QueryPath    = "/fleet/settle"    // a []CustodyQuery, answered with a []shardmap.CustodyReply
 )
 
 // Transfer offers webhooks to the owner of their range, or to the target of its move.
 type Transfer struct {
-	MapVersion  cluster.Version               `cbor:"1,keyasint"`           // by which they were sent
-	SentAt      api.Micros                    `cbor:"2,keyasint"`           // by the sender's clock, as the times within
-	Move        shardmap.MoveID               `cbor:"3,keyasint,omitempty"` // by which they are handed off; 0: to the owner
+	MapVersion  cluster.Version               `cbor:"1,keyasint"`           // version of the sender's shard map
+	SentAt      api.Micros                    `cbor:"2,keyasint"`           // by the sender's clock, as all times in it
+	Move        shardmap.MoveID               `cbor:"3,keyasint,omitempty"` // move that hands them off; 0: to the owner
 	Webhooks    []shardmap.TransferredWebhook `cbor:"4,keyasint"`           // in the order accepted
-	Incarnation uint64                        `cbor:"6,keyasint"`           // of the folder that they are meant for
+	Incarnation uint64                        `cbor:"6,keyasint"`           // of the receiver's custody directory
 
-	// Learned is the state of the move's destinations that the sender has learned, once no call to them is in flight.
+	// Learned is the state that the sender has learned about the move's destinations. It is sent once no call to them is
+	// in flight.
 	Learned []api.DestinationState `cbor:"5,keyasint,omitempty"`
 }
 
@@ -39,14 +42,14 @@
 // Outcome is the outcome of one webhook of a Transfer.
 type Outcome struct {
 	Reply      shardmap.CustodyReply `cbor:"1,keyasint,omitempty"`
-	Admission  shardmap.Admission    `cbor:"2,keyasint,omitempty"` // CustodyRejected: the reason, by the map
-	Decision   shardmap.Decision     `cbor:"3,keyasint,omitempty"` // CustodyRejected: the decision by the map there
-	RetryAfter api.Micros            `cbor:"4,keyasint,omitempty"` // CustodyRejected for lack of capacity
-	Duplicate  bool                  `cbor:"5,keyasint,omitempty"` // another webhook with its request ID is pending there
+	Admission  shardmap.Admission    `cbor:"2,keyasint,omitempty"` // why the receiver's map led to CustodyRejected
+	Decision   shardmap.Decision     `cbor:"3,keyasint,omitempty"` // with Admission: the decision by the receiver's map
+	RetryAfter api.Micros            `cbor:"4,keyasint,omitempty"` // CustodyRejected by the dispatcher: when to retry
+	Duplicate  bool                  `cbor:"5,keyasint,omitempty"` // a webhook with its request ID is pending there
 }
 
-// CustodyQuery queries whether a webhook was accepted by a hand-off number; Incarnation is of the folder that it was
-// offered to.
+// CustodyQuery asks whether a member has accepted a webhook that was offered to it with a hand-off number. TTLLeft is
+// the time until the webhook expires. Incarnation is that of the custody directory that the webhook was offered to.
 type CustodyQuery struct {
 	ID          shardmap.WebhookID     `cbor:"1,keyasint"`
 	Handoff     shardmap.HandoffNumber `cbor:"2,keyasint"`
@@ -54,7 +57,7 @@
 	Incarnation uint64                 `cbor:"4,keyasint"`
 }
 
-// EncodeWebhook returns the form in which a webhook is transferred, with this ID and hand-off number.
+// EncodeWebhook returns a webhook in the form in which it is transferred, with the given ID and hand-off number.
 func EncodeWebhook(w eventloop.Parked, id shardmap.WebhookID,
 	handoff shardmap.HandoffNumber) shardmap.TransferredWebhook {
 	return shardmap.TransferredWebhook{
@@ -73,7 +76,8 @@
 	}
 }
 
-// DecodeWebhook returns the webhook that was handed over. Its times have to be by this member's clock already.
+// DecodeWebhook returns the webhook that was transferred. The caller has already converted its times to this member's
+// clock (shardmap.TransferredWebhook.WithClockShift).
 func DecodeWebhook(t shardmap.TransferredWebhook) (*inflight.Webhook, error) {
 	w, err := inflight.DecodeWebhook(0, t.JournalEntry)
 	if err != nil {
