--- a/cluster/member/coordinate.go
+++ b/cluster/member/coordinate.go
@@ -11,7 +11,7 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// applyLeases restores the replicated leases from a snapshot.
+// applyLeases passes the replicated leases of a snapshot to the coordinator.
 func (m *Member) applyLeases(_ uint64, snapshot []byte) {
 	leases := lease.NewTable()
 	if err := leases.Restore(snapshot); err != nil {
@@ -24,7 +24,7 @@
 	m.wake()
 }
 
-// applyProgress restores the running plan from a snapshot.
+// applyProgress takes the running plan and its progress from a snapshot.
 func (m *Member) applyProgress(_ uint64, snapshot []byte) {
 	progress := &rebalance.Progress{}
 	if err := progress.Restore(snapshot); err != nil {
@@ -38,7 +38,8 @@
 	m.wake()
 }
 
-// coordinate runs the coordinator, which acts only while this member holds its lease.
+// coordinate runs the coordinator, which acts only while this member holds the coordinator's lease. Members without a
+// raft node never coordinate.
 func (m *Member) coordinate() {
 	if m.raft == nil {
 		return
@@ -57,7 +58,8 @@
 	}
 }
 
-// healthQuery returns the query for all members. It is empty if this member doesn't coordinate.
+// healthQuery returns the query that the collector sends to all members. It is empty if this member doesn't coordinate
+// or no plan is running.
 func (m *Member) healthQuery() health.Query {
 	shardMap := m.ownership.Map()
 	if _, held := m.session.Holds(cluster.CoordinatorResource); !held || shardMap == nil {
@@ -69,7 +71,7 @@
 	}
 	file, err := progress.File()
 	if err != nil {
-		return health.Query{} // the coordinator logs why
+		return health.Query{} // the coordinator logs the error
 	}
 	return health.Query{Plan: progress.Number, Watches: progress.MonitoredMoves(file, shardMap)}
 }
--- a/cluster/member/fetch.go
+++ b/cluster/member/fetch.go
@@ -17,8 +17,8 @@
 
 var errNoShardMap = errors.New("the response has no shard map")
 
-// FetchState fetches the shard map and the running plan from the raft node at an address, host:port. With the address
-// "" it returns none.
+// FetchState fetches the shard map and the running plan from the raft node at an address (host:port). For an empty
+// address it returns nil for both.
 func FetchState(address string) (*shardmap.Map, *rebalance.Progress, error) {
 	if address == "" {
 		return nil, nil, nil
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarding forwards webhooks to the owner of their range: a Forwarder offers those that clients submit to
-// this member, a Receiver accepts those that other members forward or hand off.
+// Package forwarding forwards webhooks to the owner of their range. A Forwarder offers the webhooks that clients submit
+// to this member to the owner. A Receiver accepts the webhooks that other members forward or hand off to this member.
 package forwarding
 
 import (
@@ -18,28 +18,30 @@
 )
 
 const (
-	// hopDivisor is the fraction of the time-out of a client's response that one hop may take: the rest is for accepting
-	// the webhook here.
-	hopDivisor = 3
-	// retryInterval is the time between two attempts while a range is closed or its owner has an older map.
-	retryInterval = inflight.AnswerTimeout / hopDivisor / hopDivisor / hopDivisor
+	// forwardTimeoutDivisor sets the time-out of one request to an owner: inflight.AnswerTimeout/forwardTimeoutDivisor.
+	// The rest of AnswerTimeout, within which the client must get a response, remains for accepting the webhook here.
+	forwardTimeoutDivisor = 3
+	// retryInterval is the time between two attempts while the range is closed or its owner has an older map.
+	retryInterval = inflight.AnswerTimeout / forwardTimeoutDivisor / forwardTimeoutDivisor / forwardTimeoutDivisor
 )
 
-// AcceptFunc accepts a webhook in this process. With inflight.Rejected it returns after how long the client may retry.
+// AcceptFunc accepts a webhook at this member's dispatcher. With inflight.Rejected it also returns the time after which
+// the client may retry.
 type AcceptFunc = func() (inflight.Answer, api.Micros)
 
 // Handoffs is the part of handoff.Manager that this package needs.
 type Handoffs interface {
-	// IsOrdered reports whether a webhook has to be delivered in the order of its key.
+	// IsOrdered reports whether a webhook has to be delivered in order with the other webhooks of its ordering key.
 	IsOrdered(*inflight.Webhook) bool
-	// RecordArrival records by which move a webhook arrived; 0: by none, or it was not accepted.
+	// RecordArrival records the move by which a webhook arrived. Move 0 removes the record: the webhook arrived by no
+	// move, or was not accepted.
 	RecordArrival(inflight.RequestID, shardmap.MoveID)
-	// ApplyState imports state that another member has learned. offset is by how much this clock is ahead of that
-	// member's.
+	// ApplyState imports the state that another member has learned about destinations. Its times are by that member's
+	// clock; offset is how far this member's clock is ahead.
 	ApplyState(learned []api.DestinationState, offset api.Micros)
 }
 
-// Config is what a Forwarder and a Receiver are made from.
+// Config holds the dependencies and settings of a Forwarder or a Receiver.
 type Config struct {
 	Ownership     *ownership.Manager
 	Custody       *custody.Store
@@ -48,39 +50,40 @@
 	Inbox         *inflight.Inbox
 	Loop          *eventloop.Loop
 	Handoffs      Handoffs
-	MaxClockDrift float64 // the most by which the rates of two clocks differ, as a fraction
+	MaxClockDrift float64 // maximum difference between the rates of two clocks, as a fraction
 }
 
 // Forwarder forwards clients' webhooks to the owners of their ranges. Its methods may be called concurrently.
 type Forwarder struct{ Config }
 
-// NewForwarder returns a Forwarder.
+// NewForwarder returns a Forwarder with these dependencies.
 func NewForwarder(c Config) *Forwarder { return &Forwarder{c} }
 
 // forwardOutcome is the outcome of offering a client's webhook to the owner.
 type forwardOutcome uint8
 
 const (
-	// keptHere is a webhook that is accepted here, in doubt or not.
+	// keptHere: the webhook is to be accepted by this member, in doubt or not.
 	keptHere forwardOutcome = iota
-	// answeredByOwner is one that the owner has answered.
+	// answeredByOwner: the owner has decided, and the response to the client is known.
 	answeredByOwner
-	// retryLater is one that the owner can't accept yet.
+	// retryLater: the owner can't accept the webhook yet.
 	retryLater
 )
 
-// forwardResult is an outcome with the response to the client, which is set if the owner has responded.
+// forwardResult is an outcome, with the response to the client if the outcome is answeredByOwner.
 type forwardResult struct {
 	outcome    forwardOutcome
 	answer     inflight.Answer
 	retryAfter api.Micros
 }
 
-// Forward forwards a client's webhook to the owner of its range and returns that member's response. A webhook that the
-// owner can't accept is accepted here and parked until it can be handed off. It is in the custody of the one member
-// that has it in its journal.
+// Forward forwards a client's webhook to the owner of its range and returns the owner's response. If the owner doesn't
+// answer, or can't accept the webhook yet and the webhook is not ordered, it is accepted here and parked until it can
+// be handed off. While the range is closed here, and for an ordered webhook that the owner can't accept yet, Forward
+// tries again and finally rejects the webhook. The one member that has the webhook in its journal has custody of it.
 func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
-	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/hopDivisor
+	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/forwardTimeoutDivisor
 	for {
 		here := f.acceptHere(w, accept)
 		if here.accepted {
@@ -96,15 +99,15 @@
 			return result.answer, result.retryAfter
 		case result.outcome == keptHere, forwarded && !f.Handoffs.IsOrdered(w):
 			return accept()
-		case inflight.Now() > deadline: // the move should have switched by then
+		case inflight.Now() > deadline: // a move should have switched by now
 			return inflight.Rejected, inflight.AnswerTimeout
 		}
 		time.Sleep(retryInterval.Duration())
 	}
 }
 
-// localAcceptance tells whether a webhook was accepted here, with the response to its client, and else the decision
-// about it.
+// localAcceptance is the result of acceptHere: whether the webhook was accepted by this member, with the response to
+// the client if it was, and the decision by which it was accepted or not.
 type localAcceptance struct {
 	accepted   bool
 	answer     inflight.Answer
@@ -112,8 +115,9 @@
 	decision   shardmap.Decision
 }
 
-// acceptHere accepts a webhook that this member owns, or that has to wait here for an earlier webhook of its key. While
-// the range is closed it accepts none: one that is accepted after the last count before a switch would be out of order.
+// acceptHere accepts a webhook unless another member owns it or its range is closed. A webhook that has to wait here
+// for an earlier webhook of its ordering key is accepted even if another member owns it. A closed range admits none,
+// since a webhook that was accepted after the last count before the switch would be delivered out of order.
 func (f *Forwarder) acceptHere(w *inflight.Webhook, accept AcceptFunc) localAcceptance {
 	end := f.Ownership.BeginAdmission()
 	defer end()
@@ -125,7 +129,8 @@
 	return localAcceptance{accepted: true, answer: answer, retryAfter: retryAfter, decision: decision}
 }
 
-// offerToOwner offers a client's webhook to the owner, and if that redirects by a newer map, to the owner named there.
+// offerToOwner offers a client's webhook to the owner. If that member redirects because of a newer map, offerToOwner
+// offers the webhook to the owner that it names.
 func (f *Forwarder) offerToOwner(w *inflight.Webhook, decision shardmap.Decision) forwardResult {
 	id := custody.IDOf(w.RequestID)
 	handoff := f.Custody.NextHandoff(id)
@@ -136,7 +141,7 @@
 			MapVersion: decision.Version,
 			SentAt:     sentAt,
 			Webhooks:   []shardmap.TransferredWebhook{webhook},
-		}, inflight.AnswerTimeout/hopDivisor, true)
+		}, inflight.AnswerTimeout/forwardTimeoutDivisor, true)
 		var reply peer.Outcome
 		if err == nil {
 			reply = sent.Outcomes[0]
@@ -154,7 +159,7 @@
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
-		case reply.Reply == shardmap.CustodyNever: // its TTL has passed: it ends here
+		case reply.Reply == shardmap.CustodyNever: // the webhook has expired and ends here
 			return forwardResult{outcome: keptHere}
 		case !shardmap.ShouldFollowRedirect(decision, reply.Decision, reply.Admission, hops):
 			return forwardResult{outcome: retryLater}
@@ -164,9 +169,9 @@
 	}
 }
 
-// keepInDoubt keeps a webhook here that its owner may have. This member makes no call for it until the doubt is
-// resolved, also after a restart. If the custody record can't be written, the webhook is journalled as one that may
-// have run.
+// keepInDoubt keeps a webhook here in doubt that its owner may have accepted. This member doesn't call its destination
+// until the custody is resolved, even after a restart. If the custody record can't be written, the webhook is
+// journalled as one that may have run.
 func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
 	offer shardmap.Offer) forwardResult {
 	slog.Warn("webhook in doubt: its owner did not answer", "webhook", w.RequestID, "owner", offer.To)
@@ -181,7 +186,7 @@
 		w.Prior = &inflight.PriorAttempts{Attempts: 1, MayHaveRunAt: offer.SentAt}
 		return forwardResult{outcome: keptHere}
 	}
-	if !recorded { // it was transferred back meanwhile, and is pending
+	if !recorded { // the webhook was transferred back meanwhile and is pending here already
 		return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 	}
 	return forwardResult{outcome: keptHere}
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -8,20 +8,22 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// intake accepts the webhooks of one transfer, in their order and each once, even if the message is duplicated.
+// intake accepts the webhooks of one transfer in their order, and each webhook once, even if the message is duplicated.
 type intake struct {
 	*Receiver
 	transfer peer.Transfer
 	admit    admitFunc
 
-	ids      []shardmap.WebhookID  // of the webhooks; this and the slices below are parallel to transfer.Webhooks
-	webhooks []*inflight.Webhook   // nil: can't be accepted here
-	before   []custody.SavedRecord // their custody records before this transfer
+	// The following slices have one element for each element of transfer.Webhooks.
+	ids      []shardmap.WebhookID
+	webhooks []*inflight.Webhook   // nil: the webhook can't be decoded, or its destination is unknown here
+	before   []custody.SavedRecord // the custody records before this transfer
 	outcomes []peer.Outcome
 
-	arrivals []arrival                                      // webhooks that are new here
-	returned map[inflight.RequestID]*inflight.PriorAttempts // in doubt here and transferred back, with their prior attempts
-	callable []inflight.RequestID                           // may be called once recordArrivals has run
+	arrivals []arrival // webhooks that are new here
+	// returned holds the prior attempts of webhooks that were in doubt here and are transferred back.
+	returned map[inflight.RequestID]*inflight.PriorAttempts
+	callable []inflight.RequestID // webhooks that may be called once their custody records are written
 }
 
 // arrival is a webhook that is new here.
@@ -50,7 +52,7 @@
 	return in
 }
 
-// run accepts the webhooks that are admitted and sets the outcomes.
+// run accepts the webhooks that are admitted, and sets the outcomes of all.
 func (in *intake) run() {
 	err := in.Custody.Update(in.ids, func(t *shardmap.CustodyTable) {
 		now := inflight.Now()
@@ -61,7 +63,7 @@
 			in.decide(t, i, now)
 		}
 	})
-	if err != nil { // admitted webhooks are rejected; the other outcomes are unknown
+	if err != nil { // webhooks that would have been accepted are rejected; the other outcomes become CustodyUnknown
 		clear(in.outcomes)
 		for _, a := range in.arrivals {
 			in.reject(a, inflight.AnswerTimeout)
@@ -90,7 +92,7 @@
 	return len(in.returned) == 0 || in.Loop.MergePriorAttempts(in.returned)
 }
 
-// decide decides on one webhook. The custody table is locked.
+// decide decides whether one webhook of the transfer is accepted. The custody table is locked.
 func (in *intake) decide(t *shardmap.CustodyTable, i int, now api.Micros) {
 	transferred, w := in.transfer.Webhooks[i], in.webhooks[i]
 	admission, decision := in.admit(in.transfer, transferred)
@@ -103,7 +105,7 @@
 	}
 	switch outcome {
 	case shardmap.OfferTaken:
-		w.InDoubt = true // until its custody record is written
+		w.InDoubt = true // until recordArrivals has written its custody record
 		in.arrivals = append(in.arrivals, arrival{webhook: w, position: i})
 	case shardmap.OfferReturnsCopy:
 		in.callable = append(in.callable, w.RequestID)
@@ -113,7 +115,7 @@
 	in.Handoffs.RecordArrival(w.RequestID, in.transfer.Move)
 }
 
-// submit submits the arrivals to the dispatcher. One that the dispatcher rejects counts as not offered.
+// submit submits the arrivals to the dispatcher. Arrivals that the dispatcher rejects get the outcome CustodyRejected.
 func (in *intake) submit() {
 	webhooks := make([]*inflight.Webhook, 0, len(in.arrivals))
 	for _, a := range in.arrivals {
@@ -125,7 +127,7 @@
 		case inflight.Accepted:
 			in.Metrics.Received.Add(1)
 			in.Inbox.Accepted.Add(1)
-		case inflight.Duplicate: // it was submitted here as well, and is pending
+		case inflight.Duplicate: // the webhook was also submitted to this member, and is pending
 			in.outcomes[a.position].Duplicate = true
 		default:
 			in.reject(a, retryAfter)
@@ -133,14 +135,15 @@
 	})
 }
 
-// recordArrivals writes the custody records of the arrivals, before they may be called and before the reply is sent.
+// recordArrivals writes the custody records of the arrivals. That has to be done before their destinations are called
+// and before the reply is sent.
 func (in *intake) recordArrivals() {
 	ids := make([]shardmap.WebhookID, 0, len(in.arrivals))
 	for _, a := range in.arrivals {
 		ids = append(ids, in.ids[a.position])
 	}
 	if len(ids) > 0 && in.Custody.Update(ids, in.confirmArrivals) != nil {
-		clear(in.outcomes) // the sender's next hand-off retries
+		clear(in.outcomes) // CustodyUnknown: the sender offers them again or queries
 	} else {
 		for _, a := range in.arrivals {
 			if in.outcomes[a.position].Reply == shardmap.CustodyTaken {
--- a/cluster/member/forwarding/receiver.go
+++ b/cluster/member/forwarding/receiver.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Receiver accepts webhooks that other members send, and answers their queries for custody. Its methods may be called
+// Receiver accepts the webhooks that other members send, and answers their custody queries. Its methods may be called
 // concurrently.
 type Receiver struct {
 	Config
@@ -23,24 +23,25 @@
 	clockOffsets map[cluster.MemberID]*shardmap.ClockOffset
 }
 
-// NewReceiver returns a Receiver that knows no other member's clock yet.
+// NewReceiver returns a Receiver, which has no estimate of other members' clocks yet.
 func NewReceiver(c Config) *Receiver {
 	return &Receiver{Config: c, clockOffsets: map[cluster.MemberID]*shardmap.ClockOffset{}}
 }
 
-// admitFunc decides whether a webhook of a transfer is accepted here, and returns the decision by the map.
+// admitFunc decides whether a webhook of a transfer may be accepted here. It also returns the decision by the shard
+// map.
 type admitFunc func(peer.Transfer, shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision)
 
-// HandleWebhook accepts a webhook that a client submitted to another member, or redirects to its owner.
+// HandleWebhook accepts a webhook that a client submitted to another member, or redirects the sender to the owner.
 func (r *Receiver) HandleWebhook(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitByMap) }
 
-// HandleTransfer accepts webhooks that were pending at another member, which hands them off by a move or because this
-// member is their owner.
+// HandleTransfer accepts webhooks that were pending at another member. The sender hands them off by a move, or because
+// this member owns their range.
 func (r *Receiver) HandleTransfer(ctx *fasthttp.RequestCtx) { r.receive(ctx, r.admitHandoff) }
 
-// admitByMap admits webhooks that this member owns by its map. As the source of a move that has released the range, or
-// is about to, it rejects them: the next webhook of the key, sent to the target, would overtake them. The sender keeps
-// them.
+// admitByMap admits webhooks that this member owns by its map. While a move of the range is open and this member has
+// released the lease or closed the range, it rejects them with AdmissionMapStale, and the sender keeps them: otherwise
+// the next webhook of the same key, which is sent to the move's target, could overtake them.
 func (r *Receiver) admitByMap(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission, shardmap.Decision) {
 	shardMap := r.Ownership.Map()
 	if shardMap == nil {
@@ -54,7 +55,8 @@
 	return admission, decision
 }
 
-// admitHandoff admits webhooks that are handed off to this member by a move, and otherwise what admitByMap admits.
+// admitHandoff admits webhooks that are handed off to this member by a move. Webhooks that are handed off by no move
+// are admitted as by admitByMap.
 func (r *Receiver) admitHandoff(t peer.Transfer, w shardmap.TransferredWebhook) (shardmap.Admission,
 	shardmap.Decision) {
 	shardMap := r.Ownership.Map()
@@ -72,7 +74,8 @@
 	}
 	reply := peer.TransferReply{Incarnation: r.Custody.Incarnation}
 	if transfer.Incarnation != reply.Incarnation {
-		// The transfer was meant for a folder that was lost: this member can't reply for it.
+		// The transfer is meant for a custody directory that was lost, or whose incarnation the sender doesn't know yet.
+		// Nothing is accepted, and the reply tells the sender the incarnation.
 		ctx.SetBody(transport.Encode(reply))
 		return
 	}
@@ -89,8 +92,8 @@
 	ctx.SetBody(transport.Encode(reply))
 }
 
-// observeClock updates the estimate of another member's clock by a time that it has sent, and returns by how much this
-// member's clock is ahead.
+// observeClock updates the estimate of another member's clock from the time at which a message of it was sent. It
+// returns how far this member's clock is ahead of the sender's.
 func (r *Receiver) observeClock(sender cluster.MemberID, sentAt api.Micros) api.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +103,8 @@
 	return r.clockOffsets[sender].Observe(sentAt, inflight.Now(), r.MaxClockDrift)
 }
 
-// HandleQuery replies to a member with webhooks in doubt. CustodyNever is recorded before it is sent, so that an offer
-// that is still in flight is rejected when it arrives.
+// HandleQuery answers the custody queries of a member for webhooks in doubt. CustodyNever is recorded before the reply
+// is sent, so that an offer that is still in flight is rejected when it arrives.
 func (r *Receiver) HandleQuery(ctx *fasthttp.RequestCtx) {
 	var queries []peer.CustodyQuery
 	if err := transport.Decode(ctx.Request.Body(), &queries); err != nil {
@@ -114,7 +117,7 @@
 	for i, q := range queries {
 		ids[i] = q.ID
 		switch {
-		case q.Incarnation == 0: // offered before an incarnation was known: no folder accepts such an offer
+		case q.Incarnation == 0: // offered before the incarnation was known: no member accepts such an offer
 			replies[i] = shardmap.CustodyNever
 		case q.Incarnation != r.Custody.Incarnation:
 			replies[i] = shardmap.CustodyStateLost
--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -23,7 +23,8 @@
 	return NewReceiver(Config{Custody: store})
 }
 
-// After CustodyNever the webhook is not accepted any more; about another incarnation the reply is CustodyStateLost.
+// A query addressed to another incarnation of the custody directory is answered with CustodyStateLost. After the reply
+// CustodyNever, the webhook is not accepted any more.
 func TestReceiver_QueryReplyDependsOnIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	id := custody.IDOf("never sent")
@@ -44,7 +45,7 @@
 	})
 }
 
-// A transfer for a lost folder is not accepted by the one that replaces it.
+// A member that has lost its custody directory accepts nothing from a transfer that is addressed to the lost directory.
 func TestReceiver_RejectsTransferForOtherIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	transfer := peer.Transfer{Incarnation: r.Custody.Incarnation + 1, Webhooks: make([]shardmap.TransferredWebhook, 2)}
--- a/cluster/member/health/collector.go
+++ b/cluster/member/health/collector.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	pollsPerTTL        = 4  // of each member in a lease TTL, while a plan has moved something and has more to move
-	maxConcurrentPolls = 16 // members
+	// pollsPerTTL is how often each member is polled in a lease TTL, while a plan has moved a range and has more to move.
+	pollsPerTTL        = 4
+	maxConcurrentPolls = 16 // number of members polled at the same time
 )
 
-// CollectorConfig is what a Collector is made from.
+// CollectorConfig holds the dependencies and settings of a Collector.
 type CollectorConfig struct {
 	Self     cluster.MemberID
-	Reporter *Reporter // this member's
+	Reporter *Reporter // the reporter of this member
 	Client   *transport.Client
 	LeaseTTL time.Duration
-	Members  func() []cluster.MemberID // all of them now
-	// Query returns the query for the members. Without watches they are not polled: this member doesn't coordinate, or
-	// there can be no harm.
+	Members  func() []cluster.MemberID // returns all current members
+	// Query returns the query for the members. If it has no watches, the members are not polled: this member doesn't
+	// coordinate, or the plan can do no harm now.
 	Query       func() Query
-	OnCollected func() // called after each round
+	OnCollected func() // called after each round of polls
 }
 
-// Collector polls all members for their counts and adds them up, at the coordinator. Its methods may be
-// called concurrently.
+// Collector polls all members for their counts and adds the counts up. It is active only at the coordinator. Its
+// methods may be called concurrently.
 type Collector struct {
 	CollectorConfig
 
@@ -37,11 +38,11 @@
 	reports rebalance.ImpactCollector
 }
 
-// NewCollector returns a Collector that has collected nothing.
+// NewCollector returns a Collector. It polls nothing before Run is called.
 func NewCollector(c CollectorConfig) *Collector { return &Collector{CollectorConfig: c} }
 
-// Run polls the members until stop is closed. It runs apart from the coordinator's goroutine, which must not wait for
-// an unresponsive member.
+// Run polls the members until stop is closed. It runs in a goroutine of its own, since the coordinator must not wait
+// for an unresponsive member.
 func (c *Collector) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(c.LeaseTTL / pollsPerTTL)
 	defer tick.Stop()
@@ -63,7 +64,7 @@
 	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, member := range c.Members() {
 		if member == c.Self {
-			c.add(q, member, c.Reporter.Report(q))
+			c.addReport(q, member, c.Reporter.Report(q))
 			continue
 		}
 		slots <- struct{}{}
@@ -74,7 +75,7 @@
 				slog.Debug("health poll failed", "member", member, "error", err)
 				return
 			}
-			c.add(q, member, report)
+			c.addReport(q, member, report)
 		})
 	}
 	polls.Wait()
@@ -90,13 +91,13 @@
 	return report, err
 }
 
-func (c *Collector) add(q Query, from cluster.MemberID, report rebalance.Report) {
+func (c *Collector) addReport(q Query, from cluster.MemberID, report rebalance.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reports.AddReport(q.Plan, from, report)
 }
 
-// Impact returns what was collected of the plan with a number.
+// Impact returns the impact of the plan with the given number, as far as it was collected.
 func (c *Collector) Impact(plan uint64) rebalance.Impact {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cluster/member/health/encoded_forms_test.go
+++ b/cluster/member/health/encoded_forms_test.go
@@ -8,7 +8,8 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards the messages between members of different versions against a renamed field.
+// TestEncodedForms guards the messages between members, which may run different versions, against a change of their
+// encoding by a renamed field.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		Query{},
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -1,5 +1,5 @@
-// Package health measures whether a rebalancing plan does harm: each member counts how webhooks end in the ranges that
-// move (Reporter), and the coordinator collects these counts from all members (Collector).
+// Package health measures whether a rebalancing plan harms the delivery of webhooks. Each member counts the outcomes of
+// the webhooks in ranges that move (Reporter), and the coordinator collects these counts from all members (Collector).
 package health
 
 import (
@@ -20,16 +20,16 @@
 // Path is the HTTP path at which a member answers a Query with a rebalance.Report.
 const Path = "/fleet/harm"
 
-// Query requests a member's counts in ranges that a plan has moved.
+// Query requests a member's counts in the ranges that a plan has moved.
 type Query struct {
-	Plan    uint64                    `cbor:"1,keyasint"` // its number
+	Plan    uint64                    `cbor:"1,keyasint"` // number of the plan
 	Watches []rebalance.MonitoredMove `cbor:"2,keyasint"`
 }
 
-// MapSource has the newest shard map; nil: none yet.
+// MapSource provides the newest shard map, or nil if there is none yet.
 type MapSource interface{ Map() *shardmap.Map }
 
-// ReporterConfig is what a Reporter is made from.
+// ReporterConfig holds the dependencies of a Reporter.
 type ReporterConfig struct {
 	Self  cluster.MemberID
 	Maps  MapSource
@@ -39,16 +39,16 @@
 	Stop  <-chan struct{} // closed once the dispatcher's event loop has ended
 }
 
-// Reporter counts how webhooks end at this member. Its methods may be called concurrently.
+// Reporter counts the outcomes of webhooks at this member. Its methods may be called concurrently.
 type Reporter struct {
 	ReporterConfig
 	mu sync.Mutex // guards Meter
 }
 
-// NewReporter returns a Reporter that has counted nothing.
+// NewReporter returns a Reporter without counts.
 func NewReporter(c ReporterConfig) *Reporter { return &Reporter{ReporterConfig: c} }
 
-// CountEnd counts the end of a webhook that this member owned.
+// CountEnd counts the outcome of a webhook that this member owned and that has ended.
 func (r *Reporter) CountEnd(w *inflight.Webhook, end eventloop.Ending) {
 	counts := rebalance.Outcomes{Total: 1}
 	switch end {
@@ -69,14 +69,14 @@
 	r.Meter.CountOutcomes(d, counts)
 }
 
-// AcceptFunc accepts a webhook in this process.
+// AcceptFunc accepts a webhook at this member's dispatcher.
 type AcceptFunc = func() (inflight.Answer, api.Micros)
 
 // ForwardFunc forwards a client's webhook to its owner, or accepts it here, and returns the response to the client.
 type ForwardFunc = func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros)
 
-// CountRejections wraps a ForwardFunc. A rejection counts at the member that responds to the client, whichever member
-// rejected the webhook, so that it counts once.
+// CountRejections wraps a ForwardFunc so that rejections are counted. A rejection is counted by the member that
+// responds to the client, whichever member rejected the webhook, so that it is counted once.
 func (r *Reporter) CountRejections(forward ForwardFunc) ForwardFunc {
 	return func(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
 		answer, retryAfter := forward(w, accept)
@@ -87,7 +87,7 @@
 	}
 }
 
-// ObserveMoves starts to count for moves that have begun.
+// ObserveMoves starts the counts for moves that have begun since the last call.
 func (r *Reporter) ObserveMoves() {
 	shardMap := r.Maps.Map()
 	if shardMap == nil {
@@ -102,9 +102,10 @@
 	r.Meter.ObserveMap(shardMap, unhealthy, r.Clock())
 }
 
-// findUnhealthy returns which destinations of the ranges that this member owns are unhealthy by its policy; of other
-// ranges it has no calls. It exports the state of all at once and without holding the lock, which the event loop takes
-// whenever a webhook ends.
+// findUnhealthy returns a function that lists the unhealthy destinations of a range, according to the learned state of
+// this member. The list is empty for ranges that this member doesn't own, since it makes no calls for them.
+// findUnhealthy exports the state for all ranges at once, and must be called without the lock: the event loop, which
+// exports the state, takes the lock whenever a webhook ends.
 func (r *Reporter) findUnhealthy(ranges []shardmap.Range) rebalance.UnhealthyFunc {
 	isOwn := func(rng shardmap.Range) bool { return rng.Owner == r.Self }
 	isOwnIn := func(rng shardmap.Range, d api.DestinationID) bool {
@@ -112,7 +113,7 @@
 	}
 	var all []api.DestinationState
 	if slices.ContainsFunc(ranges, isOwn) {
-		all = r.learned(func(d api.DestinationID) bool {
+		all = r.exportState(func(d api.DestinationID) bool {
 			return slices.ContainsFunc(ranges, func(rng shardmap.Range) bool { return isOwnIn(rng, d) })
 		})
 	}
@@ -126,8 +127,8 @@
 	}
 }
 
-// learned returns the learned state of destinations; nil once the event loop has ended.
-func (r *Reporter) learned(match func(api.DestinationID) bool) []api.DestinationState {
+// exportState returns the exportState state of the destinations that match, or nil once the event loop has ended.
+func (r *Reporter) exportState(match func(api.DestinationID) bool) []api.DestinationState {
 	found := make(chan []api.DestinationState, 1)
 	go func() {
 		all, _ := r.Loop.ExportState(match)
@@ -141,7 +142,7 @@
 	}
 }
 
-// Report returns this member's counts.
+// Report returns this member's counts for the moves that a query names.
 func (r *Reporter) Report(q Query) rebalance.Report {
 	shardMap := r.Maps.Map()
 	if shardMap == nil {
--- a/cluster/member/health/reporter_test.go
+++ b/cluster/member/health/reporter_test.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Each outcome counts once, and a rejection at the member that responds to the client: otherwise harm would be missed,
-// or counted by both the owner and the forwarding member.
+// Each outcome is counted once, and a rejection by the member that responds to the client. Otherwise harm would be
+// missed, or counted by both the owner and the forwarding member.
 func TestReporter_CountsEachEndOnce(t *testing.T) {
 	ranges, err := shardmap.EvenRanges(1, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(t, err)
@@ -72,7 +72,8 @@
 	assert.Equal(t, rebalance.Outcomes{Total: 9, Rejected: 3, DeadLettered: 3, Late: 2}, report.Ranges[0].During)
 }
 
-// Arbitrary messages are rejected or answered, without a panic.
+// FuzzHandleQuery checks that arbitrary messages are rejected or answered without a panic, and that the report is
+// bounded.
 func FuzzHandleQuery(f *testing.F) {
 	ranges, err := shardmap.EvenRanges(2, []shardmap.MemberWeight{{Member: "b", Weight: 1}})
 	assert.NoError(f, err)
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -15,10 +15,10 @@
 	"rowanlink/webhook/api"
 )
 
-// departureTimeoutTTLs is how many lease TTLs a graceful shutdown waits for a departure slot.
+// departureTimeoutTTLs is how long a graceful shutdown waits for a departure slot, in lease TTLs.
 const departureTimeoutTTLs = 1
 
-// Start opens the session and starts the member's background loops. Clients are not admitted yet.
+// Start opens the session and starts the member's background loops. The dispatcher doesn't accept clients yet.
 func (m *Member) Start() {
 	slog.Info("member started", "cluster", m.file.Name, "name", m.self, "members", len(m.file.Members))
 	m.session = session.New(session.Config{
@@ -31,7 +31,7 @@
 		OnChange:      func(cluster.Resource, cluster.Epoch) { m.wake() },
 	})
 	m.ownership.Start(m.session)
-	if err := m.sites.Start(m.session); err != nil { // without its records a webhook might be delivered twice
+	if err := m.sites.Start(m.session); err != nil { // without the records a webhook might be delivered twice
 		slog.Error("records of deliveries to relays can't be read", "error", err)
 		os.Exit(1)
 	}
@@ -49,7 +49,8 @@
 	m.session.RunLeaseWorkload(os.Getenv)
 }
 
-// watchState subscribes to the components of the replicated state that this member uses.
+// watchState watches the components of the replicated state that this member uses: the shard map, and on members with a
+// raft node also the leases and the plan, which the coordinator needs.
 func (m *Member) watchState() {
 	m.session.Watch(cluster.ShardMapComponent, func(_ uint64, snapshot []byte) { m.ownership.ApplySnapshot(snapshot) })
 	if m.raft == nil {
@@ -60,7 +61,7 @@
 	m.session.Watch(cluster.RebalanceComponent, m.applyProgress)
 }
 
-// runPeriodically calls do whenever it is woken, and periodically.
+// runPeriodically calls do whenever wake is sent, and also checksPerTTL times per lease TTL, until the member stops.
 func (m *Member) runPeriodically(wake wakeup.Signal, do func()) {
 	tick := time.NewTicker(m.file.LeaseTTL.Duration() / checksPerTTL)
 	defer tick.Stop()
@@ -75,7 +76,7 @@
 	}
 }
 
-// reconcile brings this member in line with the shard map, the leases and the plan.
+// reconcile adapts this member to the current shard map, leases and plan.
 func (m *Member) reconcile() {
 	m.ownership.TrackSession()
 	m.ownership.Reconcile()
@@ -85,7 +86,8 @@
 	m.coordinate()
 }
 
-// UpdateSettings applies new settings of the dispatcher and reloads the operator file. An invalid one changes nothing.
+// UpdateSettings applies new settings of the dispatcher and reloads the operator file. If the operator file is invalid,
+// the current one stays in force.
 func (m *Member) UpdateSettings(settings api.Settings) {
 	m.settings.Store(&settings)
 	text, file, err := m.readOperatorFile()
@@ -95,7 +97,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// These stay as read first: leases in force and the other members rely on them.
+	// These values stay as they were at the start: the current leases and the other members depend on them.
 	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
@@ -119,8 +121,9 @@
 	}
 }
 
-// Drain waits for one of the departure slots by which the operator file bounds how many members shut down at once.
-// After one lease TTL it returns without a slot: the process was told to end.
+// Drain waits until this member holds a departure slot. A departure slot is a lease; the operator file sets the number
+// of slots, and so how many members shut down at the same time. If no slot is free for one lease TTL, Drain returns
+// without one, since the process has been told to end.
 func (m *Member) Drain() {
 	slots := m.file.MaxDeparting
 	for slot := range slots {
@@ -136,7 +139,8 @@
 	slog.Warn("departing without a slot: none was free for one lease TTL")
 }
 
-// claimDepartureSlot reports whether this member holds a departure slot, and then releases all others.
+// claimDepartureSlot reports whether this member holds a departure slot. If it does, the requests for all other slots
+// are cancelled, and others that were granted are released.
 func (m *Member) claimDepartureSlot(slots int) bool {
 	for slot := range slots {
 		epoch, held := m.session.Holds(cluster.DepartureSlotResource(slot))
@@ -154,7 +158,8 @@
 	return false
 }
 
-// Stop stops the member. It releases all leases, so that nobody waits for their TTL, and transfers raft's leadership.
+// Stop stops the member. It releases all leases, so that no other member has to wait until they expire, and closes the
+// raft node, which transfers its leadership.
 func (m *Member) Stop() {
 	close(m.ended)
 	m.sites.Close()
@@ -166,7 +171,7 @@
 			slog.Warn("raft node not closed in time", "error", err)
 		}
 	}
-	_ = m.server.Close(m.file.LeaseTTL.Duration() / checksPerTTL) // the process ends with what is open then
+	_ = m.server.Close(m.file.LeaseTTL.Duration() / checksPerTTL) // requests that are still open end with the process
 	m.client.Close()
-	_ = m.custody.Close() // all records that were answered by are written
+	_ = m.custody.Close() // each record that a reply depends on is already written
 }
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -1,7 +1,11 @@
-// Package member makes a webhook dispatcher a member of a cluster. It wires the following to the dispatcher and runs
-// them: a raft node where the operator file names one here (raftnode), the session with its leases (session), the
-// ranges that this member owns (ownership), webhooks forwarded and handed off (forwarding, handoff, custody, peer), the
-// rebalancing plan and its health (coordinator, health) and the streams to sites' relays (cluster/site).
+// Package member makes a webhook dispatcher a member of a cluster. It connects the following parts to the dispatcher
+// and runs them:
+//   - the raft node, if the operator file gives this member one (package raftnode)
+//   - the session and its leases (session)
+//   - the ownership of ranges (ownership)
+//   - the forwarding and hand-off of webhooks (forwarding, handoff, custody, peer)
+//   - the rebalancing plan and the measurement of its impact (coordinator, health)
+//   - the streams to the relays of sites (cluster/site)
 package member
 
 import (
@@ -38,23 +42,23 @@
 )
 
 const (
-	requestTimeout       = 5 * time.Second // for a request of another member that has begun
-	checksPerTTL         = 8               // reconciliations in a lease TTL, beside those that a change causes
-	custodyDiskMB        = 32              // of the disk for custody records
-	custodyRetentionTTLs = 2               // lease TTLs by which custody records outlast what they name
+	requestTimeout       = 5 * time.Second // for receiving a request of another member once it has begun
+	checksPerTTL         = 8               // periodic reconciliations per lease TTL, in addition to those after a change
+	custodyDiskMB        = 32              // maximum disk space for custody records
+	custodyRetentionTTLs = 2               // how long custody records are kept after their webhook's TTL, in lease TTLs
 )
 
-// Member is one member of the cluster: the extension of its dispatcher by which that joins it.
+// Member is one member of the cluster. It is the extension through which its dispatcher takes part in the cluster.
 type Member struct {
 	configPath string
 	self       cluster.MemberID
 	dispatcher *dispatcher.Dispatcher
-	settings   atomic.Pointer[api.Settings] // read last
+	settings   atomic.Pointer[api.Settings] // the current settings of the dispatcher
 	clock      func() api.Micros            // monotonic, for leases
 	listener   net.Listener
 	server     *transport.Server
 	client     *transport.Client
-	raft       *raftnode.Node // nil: the operator file names no raft node here
+	raft       *raftnode.Node // nil: the operator file gives this member no raft node
 	session    *session.Session
 	ownership  *ownership.Manager
 	custody    *custody.Store
@@ -65,23 +69,24 @@
 	collector  *health.Collector
 	sites      *site.Sites
 
-	progress    atomic.Pointer[rebalance.Progress] // of the running plan; nil without a raft node
-	memberCount atomic.Int64                       // by the operator file, for the event loop's goroutine
+	progress    atomic.Pointer[rebalance.Progress] // progress of the running plan; nil without a raft node
+	memberCount atomic.Int64                       // number of members in file; atomic for the event loop's goroutine
 
 	mu          sync.Mutex
-	file        config.File // the operator file read last; the lease TTL, clock drift and name are those read first
+	file        config.File // the current operator file; its lease TTL, clock drift and name are those of the start
 	planRequest coordinator.PlanRequest
 	coordinator *coordinator.Coordinator
 
-	ownershipWake wakeup.Signal // ranges, moves or the plan may have changed
-	handoffWake   wakeup.Signal // pending webhooks may have changed
-	ended         chan struct{}
-	done          sync.WaitGroup
+	ownershipWake wakeup.Signal  // sent when ranges, moves or the plan may have changed
+	handoffWake   wakeup.Signal  // sent when pending webhooks may have changed
+	ended         chan struct{}  // closed by Stop
+	done          sync.WaitGroup // the background loops that Stop waits for
 }
 
 var _ dispatcher.Extension = (*Member)(nil)
 
-// New returns a member by the operator file at a path. The dispatcher calls its methods.
+// New returns a member that is configured by the operator file at a path. The dispatcher calls its methods, Begin
+// first.
 func New(path string) *Member {
 	return &Member{
 		configPath:    path,
@@ -91,8 +96,8 @@
 	}
 }
 
-// Begin reads the operator file, opens the raft node's log if this member has one, and joins the dispatcher's event
-// loop. No background loop runs yet.
+// Begin reads the operator file, opens the raft node if this member has one, and installs the member's hooks in the
+// dispatcher. The member's background loops don't run yet.
 func (m *Member) Begin(d *dispatcher.Dispatcher) error {
 	m.settings.Store(&d.Settings)
 	m.dispatcher, m.self = d, cluster.MemberID(d.Configuration.Get("name").String())
@@ -132,12 +137,12 @@
 	m.sites = m.newSites()
 	m.sites.Install()
 	m.sites.RegisterHandlers(m.server)
-	d.Loop.JoinCluster(admission{m})
-	d.Upstream.MayCall = func(dest api.DestinationID) bool { return admission{m}.MayCall(dest, false) }
+	d.Loop.JoinCluster(eventLoopHooks{m})
+	d.Upstream.MayCall = func(dest api.DestinationID) bool { return eventLoopHooks{m}.MayCall(dest, false) }
 	return nil
 }
 
-// listen listens for as long as the process runs.
+// listen opens a TCP listener that no context closes.
 func listen(address string) (net.Listener, error) {
 	return (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 }
@@ -170,7 +175,7 @@
 	return nil
 }
 
-// openCustody opens the custody records, beside the webhooks that the dispatcher has recovered from its journal.
+// openCustody opens the custody store, and tells it which webhooks the dispatcher has recovered from its journal.
 func (m *Member) openCustody() (err error) {
 	pending := map[shardmap.WebhookID]bool{}
 	for _, id := range m.dispatcher.Loop.RecoveredIDs() {
@@ -181,7 +186,7 @@
 	return err
 }
 
-// wireHandoff creates what transfers webhooks to other members and accepts theirs.
+// wireHandoff creates the parts that hand webhooks off to other members and accept webhooks from them.
 func (m *Member) wireHandoff() {
 	d := m.dispatcher
 	m.peers = peer.NewClient(m.client)
@@ -214,8 +219,8 @@
 	}
 }
 
-// wireHealth creates the counts of outcomes and, for the coordinator, their collection. Clients' webhooks pass through
-// the reporter to the forwarder.
+// wireHealth creates the reporter, which counts outcomes, and the collector, which the coordinator uses. It also
+// installs the forwarder, wrapped by the reporter so that rejections are counted.
 func (m *Member) wireHealth() {
 	d := m.dispatcher
 	m.reporter = health.NewReporter(health.ReporterConfig{
@@ -241,15 +246,15 @@
 	d.Inbox.ExtraMetrics = m.WriteMetrics
 }
 
-// randomID returns a number that no other start of a process has.
+// randomID returns a random number that is different at each start of a process.
 func randomID() uint64 {
 	var id [8]byte
 	_, _ = crand.Read(id[:]) // never fails
 	return binary.LittleEndian.Uint64(id[:])
 }
 
-// eventType returns an event type by the settings read last. One that was removed is at-most-once, so that
-// no call is retried.
+// eventType returns an event type of the current settings. An event type that was removed counts as at-most-once, so
+// that no call is retried.
 func (m *Member) eventType(id api.EventTypeID) api.EventType {
 	if all := m.settings.Load().EventTypes; int(id) < len(all) {
 		return all[id]
@@ -257,7 +262,7 @@
 	return api.EventType{Semantics: api.AtMostOnce}
 }
 
-// wake schedules a reconciliation of ownership and hand-offs.
+// wake schedules a reconcile and a run of the hand-off.
 func (m *Member) wake() {
 	m.ownershipWake.Send()
 	m.handoffWake.Send()
--- a/cluster/member/member_test.go
+++ b/cluster/member/member_test.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against a webhook that is delivered twice: a copy that was lost with a relay is sent once more by settings
-// that don't hold any more.
+// Guards against a webhook that is delivered twice because outdated settings are used: a copy that was lost with a
+// relay is sent again, though its event type is at-most-once by now.
 func TestEventType_FollowsReloadedSettings(t *testing.T) {
 	m := New("")
 	m.settings.Store(&api.Settings{EventTypes: []api.EventType{{Semantics: api.Idempotent}}})
@@ -21,5 +21,5 @@
 	m.UpdateSettings(api.Settings{EventTypes: []api.EventType{{Semantics: api.AtMostOnce}}})
 	assert.Equal(t, stream.ResolveDeadLetter, lost())
 	m.UpdateSettings(api.Settings{})
-	assert.Equal(t, stream.ResolveDeadLetter, lost(), "its event type has gone")
+	assert.Equal(t, stream.ResolveDeadLetter, lost(), "its event type was removed")
 }
--- a/cluster/member/metrics.go
+++ b/cluster/member/metrics.go
@@ -5,7 +5,8 @@
 	"io"
 )
 
-// WriteMetrics writes the cluster's counters, one a line, in the Prometheus text format; nothing before Serve.
+// WriteMetrics writes the member's counters in the Prometheus text format, one per line. It writes nothing before
+// Start.
 func (m *Member) WriteMetrics(w io.Writer) {
 	if m.session == nil {
 		return
@@ -19,7 +20,8 @@
 	}
 }
 
-// writePlanMetrics writes the figures of the running plan. Those of its health are the coordinator's, 0 elsewhere.
+// writePlanMetrics writes the metrics of the running plan. Those of its impact on webhooks are collected by the
+// coordinator and are 0 at the other members.
 func (m *Member) writePlanMetrics(w io.Writer) {
 	progress := m.progress.Load()
 	if progress == nil {
@@ -48,6 +50,6 @@
 		{"usual_dead_lettered", impact.Baseline.DeadLettered},
 		{"usual_late", impact.Baseline.Late},
 	} {
-		_, _ = fmt.Fprintf(w, "rowanlink_plan_%s %d\n", row.name, row.value) // the scrape has ended then
+		_, _ = fmt.Fprintf(w, "rowanlink_plan_%s %d\n", row.name, row.value) // fails only if the scraper has disconnected
 	}
 }
--- a/cluster/member/operatorfile.go
+++ b/cluster/member/operatorfile.go
@@ -32,14 +32,14 @@
 	return text, file, nil
 }
 
-// members returns all members by the operator file read last, in no particular order.
+// members returns all members of the current operator file, in no particular order.
 func (m *Member) members() []cluster.MemberID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Collect(maps.Keys(memberAddresses(m.file)))
 }
 
-// memberAddresses returns where the members serve each other, as this member reaches them.
+// memberAddresses returns the addresses at which the members serve each other.
 func memberAddresses(f config.File) map[cluster.MemberID]string {
 	addresses := map[cluster.MemberID]string{}
 	for _, member := range f.Members {
@@ -48,7 +48,7 @@
 	return addresses
 }
 
-// raftAddresses returns where the raft nodes serve each other.
+// raftAddresses returns the addresses at which the raft nodes serve each other.
 func raftAddresses(f config.File) map[cluster.MemberID]string {
 	addresses := map[cluster.MemberID]string{}
 	for _, member := range f.Members {
@@ -59,7 +59,7 @@
 	return addresses
 }
 
-// raftNodes returns the members with a raft node, in the order of the file.
+// raftNodes returns the members that have a raft node, in the order of the file.
 func raftNodes(f config.File) (nodes []cluster.MemberID) {
 	for _, member := range f.Members {
 		if member.RaftAddress != "" {
