--- a/cluster/member/admission.go
+++ b/cluster/member/admission.go
@@ -32,5 +32,5 @@
 
 // WebhookEnded counts the outcome of a webhook that has ended.
 func (a eventLoopHooks) WebhookEnded(w *inflight.Webhook, how eventloop.Ending) {
-	a.m.reporter.CountEnd(w, how)
+	a.m.reporter.CountOutcome(w, how)
 }
--- a/cluster/member/coordinate.go
+++ b/cluster/member/coordinate.go
@@ -54,7 +54,7 @@
 		})
 	}
 	if m.coordinator.Run(m.planRequest, candidates, m.clock()) {
-		m.planRequest.Fresh = false
+		m.planRequest.Reloaded = false
 	}
 }
 
--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -64,13 +64,13 @@
 
 // PlanRequest is the plan that the operator file states.
 type PlanRequest struct {
-	Text   []byte
-	Groups []shardmap.PlacementGroup // the subscribers of each site, which are placed together
-	Fresh  bool                      // the file was reloaded, so that its plan replaces the running one
-	// Resumes is the number of the plan that was stopped when the file was read, or 0 if none was. A stopped plan is
+	Text     []byte
+	Groups   []shardmap.PlacementGroup // the subscribers of each site, which are placed together
+	Reloaded bool                      // the file was reloaded, so that its plan replaces the running one
+	// ResumesPlan is the number of the plan that was stopped when the file was read, or 0 if none was. A stopped plan is
 	// resumed only by a file that was read after the stop, even if the file is unchanged; it doesn't matter which member
 	// coordinates.
-	Resumes uint64
+	ResumesPlan uint64
 }
 
 // Candidates holds the members that the operator file lists, and the number of ranges of the initial shard map.
@@ -115,7 +115,7 @@
 		c.propose("ranges failed over", by.FailOver(takeovers), "ranges", len(takeovers))
 		return false
 	}
-	mayPlace := request.Fresh || len(shardMap.Groups) == 0
+	mayPlace := request.Reloaded || len(shardMap.Groups) == 0
 	if mayPlace && !shardmap.EqualPlacements(request.Groups, shardMap.Groups) {
 		c.propose("destinations placed", by.Place(request.Groups), "sites", len(request.Groups))
 		return false
--- a/cluster/member/coordinator/coordinator_test.go
+++ b/cluster/member/coordinator/coordinator_test.go
@@ -16,8 +16,8 @@
 	c := &Coordinator{progress: &rebalance.Progress{Number: 3, Name: planName, Text: text, StopReason: "late"}}
 	assert.Equal(t, uint64(3), c.StoppedPlan())
 	assert.NotPanics(t, func() {
-		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true}, nil))
-		assert.True(t, c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 2}, nil))
+		assert.True(t, c.adopt(PlanRequest{Text: text, Reloaded: true}, nil))
+		assert.True(t, c.adopt(PlanRequest{Text: text, Reloaded: true, ResumesPlan: 2}, nil))
 	})
-	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Fresh: true, Resumes: 3}, nil) }, "it computes the steps")
+	assert.Panics(t, func() { c.adopt(PlanRequest{Text: text, Reloaded: true, ResumesPlan: 3}, nil) }, "it computes the steps")
 }
--- a/cluster/member/coordinator/plan.go
+++ b/cluster/member/coordinator/plan.go
@@ -47,7 +47,7 @@
 // is not dealt with yet and the next Run has to try again.
 func (c *Coordinator) adopt(request PlanRequest, shardMap *shardmap.Map) bool {
 	number := c.runningPlan()
-	if number != 0 && !request.Fresh {
+	if number != 0 && !request.Reloaded {
 		return false
 	}
 	requested, err := planfile.Parse(request.Text, planName)
@@ -55,7 +55,7 @@
 		slog.Error("plan rejected", "error", err)
 		return true
 	}
-	resumes := c.StoppedPlan() != 0 && c.StoppedPlan() == request.Resumes
+	resumes := c.StoppedPlan() != 0 && c.StoppedPlan() == request.ResumesPlan
 	if number != 0 && !resumes {
 		running, err := planfile.Parse(c.progress.Text, planName)
 		if err == nil && reflect.DeepEqual(running, requested) {
--- a/cluster/member/custody/compatibility_test.go
+++ b/cluster/member/custody/compatibility_test.go
@@ -48,8 +48,8 @@
 	}
 	for requestID, record := range want {
 		record.ID = IDOf(requestID)
-		saved := s.SaveRecord(record.ID)
-		assert.True(t, saved.Known, requestID)
+		saved := s.SnapshotRecord(record.ID)
+		assert.True(t, saved.Exists, requestID)
 		assert.Equal(t, record, saved.Record, requestID)
 	}
 	assert.True(t, s.IsInDoubt("offered"))
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -74,10 +74,10 @@
 		return nil, err
 	}
 	records := make([]shardmap.CustodyRecord, 0, len(latest))
-	before := make([]SavedRecord, 0, len(latest))
+	before := make([]RecordSnapshot, 0, len(latest))
 	for id, record := range latest {
 		records = append(records, record)
-		before = append(before, SavedRecord{Name: id, Record: record, Known: true})
+		before = append(before, RecordSnapshot{ID: id, Record: record, Exists: true})
 	}
 	s.table = shardmap.NewCustodyTable(records, isPending)
 	// NewCustodyTable has adapted the records to the webhooks that are pending now. The result is written at once: a later
@@ -108,70 +108,70 @@
 	return latest, nil
 }
 
-// SavedRecord is the custody record of a webhook at one time, to be restored by CustodyTable.Rollback.
-type SavedRecord struct {
-	Name   shardmap.WebhookID
+// RecordSnapshot is the custody record of a webhook at one time, to be restored by CustodyTable.Rollback.
+type RecordSnapshot struct {
+	ID     shardmap.WebhookID
 	Record shardmap.CustodyRecord
-	Known  bool // the webhook had a record
+	Exists bool // the webhook had a record
 }
 
-// SaveRecord returns the current record of a webhook. It may be called only within the function that is passed to
-// Update or UpdateUnsynced, where the table is locked.
-func (s *Store) SaveRecord(id shardmap.WebhookID) SavedRecord {
+// SnapshotRecord returns the current record of a webhook. It may be called only within the function that is passed to
+// Update or UpdateInMemory, where the table is locked.
+func (s *Store) SnapshotRecord(id shardmap.WebhookID) RecordSnapshot {
 	record, known := s.table.Lookup(id)
-	return SavedRecord{Name: id, Record: record, Known: known}
+	return RecordSnapshot{ID: id, Record: record, Exists: known}
 }
 
 // Update calls change with the table locked, and writes the records that change has modified before it returns. If
-// writing fails, Update restores the records and returns the error. change may only modify records of the webhooks that
-// are named.
+// writing fails, Update restores the records and returns the error. change may only modify the
+// records of the webhooks in ids.
 func (s *Store) Update(ids []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireRecords()
-	before := make([]SavedRecord, 0, len(ids))
+	before := make([]RecordSnapshot, 0, len(ids))
 	for _, id := range ids {
-		before = append(before, s.SaveRecord(id))
+		before = append(before, s.SnapshotRecord(id))
 	}
 	change(s.table)
 	err := s.writeChanges(before)
 	if err != nil {
-		for _, saved := range before {
-			s.table.Rollback(saved.Name, saved.Record, saved.Known)
+		for _, snapshot := range before {
+			s.table.Rollback(snapshot.ID, snapshot.Record, snapshot.Exists)
 		}
 		slog.Error("custody records not written", "webhooks", len(ids), "error", err)
 	}
 	return err
 }
 
-// UpdateUnsynced calls change with the table locked and does not write the records. It is for changes that follow from
+// UpdateInMemory calls change with the table locked and does not write the records. It is for changes that follow from
 // another member's reply: if they are lost in a restart, that member is queried again and its reply leads to the same
 // change.
-func (s *Store) UpdateUnsynced(change func(*shardmap.CustodyTable)) {
+func (s *Store) UpdateInMemory(change func(*shardmap.CustodyTable)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.table)
 }
 
-// writeChanges writes the records that differ from the saved ones. The caller holds the lock.
-func (s *Store) writeChanges(before []SavedRecord) error {
+// writeChanges writes the records that differ from their snapshots. The caller holds the lock.
+func (s *Store) writeChanges(before []RecordSnapshot) error {
 	written := map[shardmap.WebhookID]api.WebhookID{}
 	var removed []shardmap.WebhookID
 	var err error
-	for _, saved := range before {
-		record, known := s.table.Lookup(saved.Name)
-		if record == saved.Record && known == saved.Known {
+	for _, snapshot := range before {
+		record, known := s.table.Lookup(snapshot.ID)
+		if record == snapshot.Record && known == snapshot.Exists {
 			continue
 		}
 		if !known {
-			removed = append(removed, saved.Name)
+			removed = append(removed, snapshot.ID)
 			continue
 		}
 		s.lastEntryID++
 		if err = s.journal.Accept(s.lastEntryID, transport.Encode(record)); err != nil {
 			break
 		}
-		written[saved.Name] = s.lastEntryID
+		written[snapshot.ID] = s.lastEntryID
 	}
 	if err == nil {
 		err = s.journal.Commit()
@@ -203,13 +203,13 @@
 // IsInDoubt reports whether a webhook that is pending here was offered to another member with an unknown outcome, so
 // that the other member may have it.
 func (s *Store) IsInDoubt(id inflight.RequestID) bool {
-	_, _, offered := s.PendingOffer(IDOf(id))
+	_, _, offered := s.OutstandingOffer(IDOf(id))
 	return offered
 }
 
-// PendingOffer returns the offer of a webhook whose outcome is not known, and its hand-off number. It returns false if
-// there is no such offer.
-func (s *Store) PendingOffer(id shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
+// OutstandingOffer returns the offer of a webhook whose outcome is not known, and its hand-off number. It returns false
+// if there is no such offer.
+func (s *Store) OutstandingOffer(id shardmap.WebhookID) (shardmap.Offer, shardmap.HandoffNumber, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.OutstandingOffer(id)
@@ -231,8 +231,8 @@
 	return s.table.NextHandoff(id)
 }
 
-// PendingByMove counts the offers by a move whose outcome is not known.
-func (s *Store) PendingByMove(move shardmap.MoveID) int {
+// CountOutstandingOffers counts the offers by a move whose outcome is not known.
+func (s *Store) CountOutstandingOffers(move shardmap.MoveID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.CountOffersOfMove(move)
--- a/cluster/member/forwarding/intake.go
+++ b/cluster/member/forwarding/intake.go
@@ -16,8 +16,8 @@
 
 	// The following slices have one element for each element of transfer.Webhooks.
 	ids      []shardmap.WebhookID
-	webhooks []*inflight.Webhook   // nil: the webhook can't be decoded, or its destination is unknown here
-	before   []custody.SavedRecord // the custody records before this transfer
+	webhooks []*inflight.Webhook      // nil: the webhook can't be decoded, or its destination is unknown here
+	before   []custody.RecordSnapshot // the custody records before this transfer
 	outcomes []peer.Outcome
 
 	arrivals []arrival // webhooks that are new here
@@ -39,7 +39,7 @@
 		admit:    admit,
 		ids:      make([]shardmap.WebhookID, len(t.Webhooks)),
 		webhooks: make([]*inflight.Webhook, len(t.Webhooks)),
-		before:   make([]custody.SavedRecord, len(t.Webhooks)),
+		before:   make([]custody.RecordSnapshot, len(t.Webhooks)),
 		outcomes: make([]peer.Outcome, len(t.Webhooks)),
 		returned: map[inflight.RequestID]*inflight.PriorAttempts{},
 	}
@@ -96,7 +96,7 @@
 func (in *intake) decide(t *shardmap.CustodyTable, i int, now api.Micros) {
 	transferred, w := in.transfer.Webhooks[i], in.webhooks[i]
 	admission, decision := in.admit(in.transfer, transferred)
-	in.before[i] = in.Custody.SaveRecord(transferred.ID)
+	in.before[i] = in.Custody.SnapshotRecord(transferred.ID)
 	admits := admission == shardmap.AdmissionAccepted && w != nil
 	reply, outcome := t.HandleOffer(transferred.ID, transferred.Handoff, transferred.TTL, now, admits)
 	in.outcomes[i].Reply = reply
@@ -159,9 +159,9 @@
 	for _, a := range in.arrivals {
 		before := in.before[a.position]
 		if in.outcomes[a.position].Reply == shardmap.CustodyRejected {
-			t.Rollback(before.Name, before.Record, before.Known)
+			t.Rollback(before.ID, before.Record, before.Exists)
 		} else {
-			t.ConfirmStored(before.Name)
+			t.ConfirmStored(before.ID)
 		}
 	}
 }
--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, transport.Decode(ctx.Response.Body(), &replies))
 	assert.Equal(t, []shardmap.CustodyReply{shardmap.CustodyNever, shardmap.CustodyNever, shardmap.CustodyStateLost},
 		replies)
-	r.Custody.UpdateUnsynced(func(table *shardmap.CustodyTable) {
+	r.Custody.UpdateInMemory(func(table *shardmap.CustodyTable) {
 		reply, _ := table.HandleOffer(id, 3, inflight.Now()+api.Second, inflight.Now(), true)
 		assert.Equal(t, shardmap.CustodyNever, reply)
 	})
--- a/cluster/member/handoff/batch.go
+++ b/cluster/member/handoff/batch.go
@@ -76,7 +76,7 @@
 // batchInDoubt adds a webhook in doubt to the batches. If the webhook is still routed to the member and the incarnation
 // that it was offered to, the offer is repeated; otherwise that member is queried for it.
 func (m *Manager) batchInDoubt(all batches, w eventloop.Parked, r route, routed bool) {
-	offer, _, offered := m.Custody.PendingOffer(custody.IDOf(w.RequestID))
+	offer, _, offered := m.Custody.OutstandingOffer(custody.IDOf(w.RequestID))
 	switch {
 	case !offered:
 		m.confirmArrival(w) // in doubt because it is arriving here, or resolved meanwhile
--- a/cluster/member/handoff/batch_test.go
+++ b/cluster/member/handoff/batch_test.go
@@ -39,7 +39,7 @@
 		client.Close()
 	})
 	owned := ownership.New(ownership.Config{Self: "a", LeaseTTL: leaseTTL, Clock: clock, OnChange: func() {}})
-	owned.Start(s)
+	owned.SetSession(s)
 	require.Eventually(t, s.IsActive, 20*time.Second, time.Millisecond)
 	owned.TrackSession()
 	store, err := custody.Open(t.TempDir(), 1, leaseTTL, func(shardmap.WebhookID) bool { return false })
--- a/cluster/member/handoff/indoubt.go
+++ b/cluster/member/handoff/indoubt.go
@@ -31,7 +31,7 @@
 	var queries []peer.CustodyQuery
 	for _, w := range webhooks {
 		id := custody.IDOf(w.RequestID)
-		offer, handoff, offered := m.Custody.PendingOffer(id)
+		offer, handoff, offered := m.Custody.OutstandingOffer(id)
 		if !offered || offer.To != at {
 			continue
 		}
@@ -77,7 +77,7 @@
 // dropCopy ends a webhook that the other member has taken. It returns false if another reply resolved the webhook
 // meanwhile. The end of the webhook is written before its custody record.
 func (m *Manager) dropCopy(d inDoubtWebhook) (dropped bool) {
-	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
+	m.Custody.UpdateInMemory(func(t *shardmap.CustodyTable) {
 		dropped = t.HandleReply(d.id, d.handoff, shardmap.CustodyTaken) == shardmap.DropCopy
 		if dropped {
 			m.Loop.FinishTransferred([]api.WebhookID{d.ID})
--- a/cluster/member/handoff/localwork.go
+++ b/cluster/member/handoff/localwork.go
@@ -43,4 +43,4 @@
 }
 
 // InDoubt counts the offers made by a move whose outcome is not known.
-func (m *Manager) InDoubt(move shardmap.MoveID) int { return m.Custody.PendingByMove(move) }
+func (m *Manager) InDoubt(move shardmap.MoveID) int { return m.Custody.CountOutstandingOffers(move) }
--- a/cluster/member/handoff/offer.go
+++ b/cluster/member/handoff/offer.go
@@ -132,7 +132,7 @@
 		m.Loop.ResolveInDoubt(kept)
 	}
 	for _, o := range offers {
-		pending, handoff, found := m.Custody.PendingOffer(o.id)
+		pending, handoff, found := m.Custody.OutstandingOffer(o.id)
 		if found && o.reply == shardmap.CustodyStateLost {
 			m.resolveInDoubt(inDoubtWebhook{Parked: o.Parked, id: o.id, handoff: handoff, offer: pending}, o.reply)
 		}
@@ -143,7 +143,7 @@
 // member may already be transferring one of them back, and a webhook must not be accepted again before it has ended
 // here.
 func (m *Manager) dropTransferred(offers []offeredWebhook) {
-	m.Custody.UpdateUnsynced(func(t *shardmap.CustodyTable) {
+	m.Custody.UpdateInMemory(func(t *shardmap.CustodyTable) {
 		var ids []api.WebhookID
 		for _, o := range offers {
 			if o.reply != shardmap.CustodyTaken {
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -31,12 +31,12 @@
 
 // ReporterConfig holds the dependencies of a Reporter.
 type ReporterConfig struct {
-	Self  cluster.MemberID
-	Maps  MapSource
-	Loop  *eventloop.Loop
-	Clock func() api.Micros // monotonic
-	Meter *rebalance.ImpactMeter
-	Stop  <-chan struct{} // closed once the dispatcher's event loop has ended
+	Self      cluster.MemberID
+	Maps      MapSource
+	Loop      *eventloop.Loop
+	Clock     func() api.Micros // monotonic
+	Meter     *rebalance.ImpactMeter
+	LoopEnded <-chan struct{} // closed once the dispatcher's event loop has ended
 }
 
 // Reporter counts the outcomes of webhooks at this member. Its methods may be called concurrently.
@@ -48,8 +48,8 @@
 // NewReporter returns a Reporter without counts.
 func NewReporter(c ReporterConfig) *Reporter { return &Reporter{ReporterConfig: c} }
 
-// CountEnd counts the outcome of a webhook that this member owned and that has ended.
-func (r *Reporter) CountEnd(w *inflight.Webhook, end eventloop.Ending) {
+// CountOutcome counts the outcome of a webhook that this member owned and that has ended.
+func (r *Reporter) CountOutcome(w *inflight.Webhook, end eventloop.Ending) {
 	counts := rebalance.Outcomes{Total: 1}
 	switch end {
 	case eventloop.OnTime:
@@ -137,7 +137,7 @@
 	select {
 	case all := <-found:
 		return all
-	case <-r.Stop:
+	case <-r.LoopEnded:
 		return nil
 	}
 }
--- a/cluster/member/health/reporter_test.go
+++ b/cluster/member/health/reporter_test.go
@@ -39,7 +39,7 @@
 	w := &inflight.Webhook{Destination: 7}
 	for _, end := range []eventloop.Ending{eventloop.OnTime, eventloop.Late, eventloop.Late, eventloop.Rejected,
 		eventloop.DeadLettered, eventloop.DeadLettered, eventloop.DeadLettered} {
-		r.CountEnd(w, end)
+		r.CountOutcome(w, end)
 	}
 	forwardTo := func(answer inflight.Answer, answered bool) ForwardFunc {
 		return func(_ *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
--- a/cluster/member/lifecycle.go
+++ b/cluster/member/lifecycle.go
@@ -30,7 +30,7 @@
 		Leader:        session.NewLeaderClient(m.client, raftNodes(m.file), rand.Float64),
 		OnChange:      func(cluster.Resource, cluster.Epoch) { m.wake() },
 	})
-	m.ownership.Start(m.session)
+	m.ownership.SetSession(m.session)
 	if err := m.sites.Start(m.session); err != nil { // without the records a webhook might be delivered twice
 		slog.Error("records of deliveries to relays can't be read", "error", err)
 		os.Exit(1)
@@ -101,10 +101,10 @@
 	file.LeaseTTL, file.MaxClockDrift, file.Name = m.file.LeaseTTL, m.file.MaxClockDrift, m.file.Name
 	m.file = file
 	m.planRequest = coordinator.PlanRequest{
-		Text:    text,
-		Groups:  file.Groups(),
-		Fresh:   true,
-		Resumes: m.coordinator.StoppedPlan(),
+		Text:        text,
+		Groups:      file.Groups(),
+		Reloaded:    true,
+		ResumesPlan: m.coordinator.StoppedPlan(),
 	}
 	m.updatePeers(file)
 	m.memberCount.Store(int64(len(file.Members)))
--- a/cluster/member/member.go
+++ b/cluster/member/member.go
@@ -42,7 +42,7 @@
 )
 
 const (
-	requestTimeout       = 5 * time.Second // for receiving a request of another member once it has begun
+	requestTimeout       = 5 * time.Second // for receiving a request of another member, and for sending the response
 	checksPerTTL         = 8               // periodic reconciliations per lease TTL, in addition to those after a change
 	custodyDiskMB        = 32              // maximum disk space for custody records
 	custodyRetentionTTLs = 2               // how long custody records are kept after their webhook's TTL, in lease TTLs
@@ -199,7 +199,7 @@
 		EventType: m.eventType,
 		Wake:      m.handoffWake.Send,
 	})
-	m.ownership.Bind(m.handoff)
+	m.ownership.SetLocalWork(m.handoff)
 	receiver := forwarding.NewReceiver(m.forwardingConfig())
 	m.server.Handle(peer.WebhookPath, receiver.HandleWebhook)
 	m.server.Handle(peer.TransferPath, receiver.HandleTransfer)
@@ -224,12 +224,12 @@
 func (m *Member) wireHealth() {
 	d := m.dispatcher
 	m.reporter = health.NewReporter(health.ReporterConfig{
-		Self:  m.self,
-		Maps:  m.ownership,
-		Loop:  d.Loop,
-		Clock: m.clock,
-		Meter: rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
-		Stop:  m.ended,
+		Self:      m.self,
+		Maps:      m.ownership,
+		Loop:      d.Loop,
+		Clock:     m.clock,
+		Meter:     rebalance.NewImpactMeter(randomID(), m.file.LeaseTTL, m.clock()),
+		LoopEnded: m.ended,
 	})
 	m.collector = health.NewCollector(health.CollectorConfig{
 		Self:        m.self,
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -66,18 +66,19 @@
 	closedRanges sync.Map // from cluster.RangeID to closedRange
 }
 
-// New returns a Manager that has no shard map yet. Bind and Start must be called before any other method except Decide.
+// New returns a Manager that has no shard map yet. SetLocalWork and SetSession must be called before any other method
+// except Decide.
 func New(c Config) *Manager {
 	m := &Manager{Config: c}
 	m.inactiveSince.Store(int64(c.Clock()))
 	return m
 }
 
-// Bind sets the LocalWork that reports the dispatcher's calls and webhooks.
-func (m *Manager) Bind(local LocalWork) { m.local = local }
+// SetLocalWork sets the LocalWork that reports the dispatcher's calls and webhooks.
+func (m *Manager) SetLocalWork(local LocalWork) { m.local = local }
 
-// Start sets the session that holds the leases of the member's ranges. The session is already running.
-func (m *Manager) Start(s *session.Session) { m.session = s }
+// SetSession sets the session that holds the leases of the member's ranges. The session is already running.
+func (m *Manager) SetSession(s *session.Session) { m.session = s }
 
 // Map returns the cached shard map, or nil if none has been received yet.
 func (m *Manager) Map() *shardmap.Map { return m.shardMap.Load() }
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -45,8 +45,8 @@
 	})
 	m := New(Config{Self: "a0", LeaseTTL: leaseTTL, Clock: clock, HandoffBatch: 256, OnChange: func() {}})
 	m.inactiveSince.Store(0)
-	m.Bind(idle{})
-	m.Start(s)
+	m.SetLocalWork(idle{})
+	m.SetSession(s)
 	return m, s, leader
 }
 
