--- a/cluster/member/coordinator/coordinator.go
+++ b/cluster/member/coordinator/coordinator.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// advanceMove proposes the next step of a range's move.
+// advanceMove proposes to advance the move of a range to the step to.
 func (c *Coordinator) advanceMove(event string, by shardmap.Coordinator, r shardmap.Range, to shardmap.MoveStep) {
 	isTaken := func(now shardmap.Range) bool { return now.Move.ID == r.Move.ID && now.Move.Step >= to }
 	c.proposeStep(event, r.ID, isTaken, by.AdvanceMove(r.Move.ID, to), "range", r.ID, "move", r.Move.ID, "to", r.Move.To)
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -123,8 +123,8 @@
 }
 
 // Update calls change with the table locked, and writes the records that change has modified before it returns. If
-// writing fails, Update restores the records and returns the error. change may only modify the
-// records of the webhooks in ids.
+// writing fails, Update restores the records and returns the error. change may only modify the records of the webhooks
+// in ids.
 func (s *Store) Update(ids []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -1,5 +1,6 @@
-// Package forwarding forwards webhooks to the owner of their range. A Forwarder offers the webhooks that clients submit
-// to this member to the owner. A Receiver accepts the webhooks that other members forward or hand off to this member.
+// Package forwarding forwards webhooks to the owner of their range. When a client submits a webhook to this member, a
+// Forwarder offers the webhook to its owner. A Receiver accepts the webhooks that other members forward or hand off to
+// this member.
 package forwarding
 
 import (
@@ -115,9 +116,10 @@
 	decision   shardmap.Decision
 }
 
-// acceptHere accepts a webhook unless another member owns it or its range is closed. A webhook that has to wait here
-// for an earlier webhook of its ordering key is accepted even if another member owns it. A closed range admits none,
-// since a webhook that was accepted after the last count before the switch would be delivered out of order.
+// acceptHere accepts a webhook unless it has to be forwarded to another member or its range is closed. A webhook that
+// has to wait here for an earlier webhook of its ordering key is accepted even if another member owns it. A closed
+// range admits none: a webhook that is accepted after the last count of pending webhooks before the switch would be
+// delivered out of order.
 func (f *Forwarder) acceptHere(w *inflight.Webhook, accept AcceptFunc) localAcceptance {
 	end := f.Ownership.BeginAdmission()
 	defer end()
--- a/cluster/member/health/reporter.go
+++ b/cluster/member/health/reporter.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// exportState returns the exportState state of the destinations that match, or nil once the event loop has ended.
+// exportState returns the learned state of the destinations that match, or nil once the event loop has ended.
 func (r *Reporter) exportState(match func(api.DestinationID) bool) []api.DestinationState {
 	found := make(chan []api.DestinationState, 1)
 	go func() {
--- a/cluster/member/ownership/manager.go
+++ b/cluster/member/ownership/manager.go
@@ -122,7 +122,7 @@
 	slog.Info("isolation over", "member", m.Self)
 }
 
-// isIsolated reports whether this member has to assume that no range has a serving owner
+// isIsolated reports whether, as far as this member can tell, possibly no range has a serving owner
 // (shardmap.IsolationSuspected).
 func (m *Manager) isIsolated() bool {
 	return shardmap.IsolationSuspected(api.Micros(m.inactiveSince.Load()), m.Clock(), m.LeaseTTL)
@@ -144,8 +144,7 @@
 	return held
 }
 
-// Decide returns what this member does now with webhooks of a destination. Before the first shard map it is to park
-// them.
+// Decide returns what this member does now with webhooks of a destination. As long as there is no shard map, they are parked.
 func (m *Manager) Decide(destination api.DestinationID) shardmap.Decision {
 	shardMap := m.shardMap.Load()
 	if shardMap == nil {
--- a/cluster/member/ownership/reconcile_test.go
+++ b/cluster/member/ownership/reconcile_test.go
@@ -20,14 +20,14 @@
 	longTimeout = 20 * time.Second // longer than any awaited condition takes, also on a busy machine
 )
 
-// idle is a LocalWork without calls in flight, pending webhooks or webhooks in doubt.
-type idle struct{}
+// idleWork is a LocalWork without calls in flight, pending webhooks or webhooks in doubt.
+type idleWork struct{}
 
-func (idle) CallsInFlight(shardmap.Range) int        { return 0 }
-func (idle) CallsInFlightTo([]api.DestinationID) int { return 0 }
-func (idle) PendingWebhooks(shardmap.Range) int      { return 0 }
-func (idle) StateTransferred(shardmap.Range) bool    { return true }
-func (idle) InDoubt(shardmap.MoveID) int             { return 0 }
+func (idleWork) CallsInFlight(shardmap.Range) int        { return 0 }
+func (idleWork) CallsInFlightTo([]api.DestinationID) int { return 0 }
+func (idleWork) PendingWebhooks(shardmap.Range) int      { return 0 }
+func (idleWork) StateTransferred(shardmap.Range) bool    { return true }
+func (idleWork) InDoubt(shardmap.MoveID) int             { return 0 }
 
 // newIdleManager returns the manager of member "a0" with nothing in flight or pending, its session, and the fake leader
 // of the session.
@@ -45,7 +45,7 @@
 	})
 	m := New(Config{Self: "a0", LeaseTTL: leaseTTL, Clock: clock, HandoffBatch: 256, OnChange: func() {}})
 	m.inactiveSince.Store(0)
-	m.SetLocalWork(idle{})
+	m.SetLocalWork(idleWork{})
 	m.SetSession(s)
 	return m, s, leader
 }
--- a/cluster/member/peer/messages.go
+++ b/cluster/member/peer/messages.go
@@ -1,7 +1,7 @@
 // Package peer defines the messages by which members transfer webhooks to each other, and a client for them. Each
 // message names the incarnation of the receiver's custody directory that it is meant for. A member that has lost its
-// directory no longer knows what it accepted; the incarnation shows that its replies say nothing about the offers
-// before.
+// directory no longer knows what it accepted. The incarnation keeps its replies from being taken for answers to offers
+// that were addressed to the lost directory.
 package peer
 
 import (
--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -17,32 +17,32 @@
 	"rowanlink/webhook/api"
 )
 
-// counted is a listener that counts the bytes received and sent on its connections.
-type counted struct {
+// countingListener is a listener that counts the bytes received and sent on its connections.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.bytes}, nil
+	return countingConn{conn, c.bytes}, nil
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/cluster/member/session/cluster_test.go
+++ b/cluster/member/session/cluster_test.go
@@ -58,7 +58,7 @@
 	names         []cluster.MemberID // of the raft nodes
 	addresses     map[cluster.MemberID]string
 	raftAddresses map[cluster.MemberID]string
-	folders       map[cluster.MemberID]string
+	stateDirs     map[cluster.MemberID]string
 	links         map[linkEnds][]*link
 	running       map[cluster.MemberID]*runningNode
 	incarnations  lease.Incarnation
@@ -84,7 +84,7 @@
 		leaseTTL:      leaseTTL,
 		addresses:     map[cluster.MemberID]string{},
 		raftAddresses: map[cluster.MemberID]string{},
-		folders:       map[cluster.MemberID]string{},
+		stateDirs:     map[cluster.MemberID]string{},
 		links:         map[linkEnds][]*link{},
 		running:       map[cluster.MemberID]*runningNode{},
 		withoutLinks:  withoutLinks,
@@ -113,7 +113,7 @@
 		c.t.Cleanup(func() { _ = port.Close() }) // an error doesn't matter: the port becomes free when the process ends
 		addresses[m] = port.Addr
 	}
-	c.folders[m] = c.t.TempDir()
+	c.stateDirs[m] = c.t.TempDir()
 }
 
 // addressesFor returns the addresses that one member or node uses to reach the nodes: for each real address, that of a
@@ -165,17 +165,17 @@
 	n.Node, err = raftnode.Open(raftnode.Config{
 		ClusterName:  "test",
 		Self:         m,
-		StateDir:     c.folders[m],
+		StateDir:     c.stateDirs[m],
 		SessionTTL:   c.leaseTTL,
 		Addresses:    c.addressesFor(m, c.raftAddresses),
 		Client:       n.client,
 		Clock:        clock,
 		Leases:       leases,
 		StateMachine: fsm.New(leases, nil),
-	}, counted{raftListener, &c.nodeBytes})
+	}, countingListener{raftListener, &c.nodeBytes})
 	require.NoError(c.t, err)
 	n.RegisterHandlers(n.server)
-	go func() { _ = n.server.Serve(counted{listener, &c.nodeBytes}) }() // ends by Close
+	go func() { _ = n.server.Serve(countingListener{listener, &c.nodeBytes}) }() // ends by Close
 	c.running[m] = n
 }
 
@@ -256,7 +256,7 @@
 		for i, s := range sessions {
 			epoch, held := s.Holds(exclusiveResource)
 			if held && isHeldByAnother(s, sessions[i+1:]) {
-				return "two held it at once"
+				return "two sessions held it at once"
 			}
 			if held && epoch < last {
 				return "an epoch decreased"
--- a/cluster/member/session/raftnodes_test.go
+++ b/cluster/member/session/raftnodes_test.go
@@ -21,7 +21,7 @@
 	epoch := awaitHeld(t, a, "home/1")
 	lost := c.names[0] // the one that bootstrapped the raft group
 	c.stopNode(lost)
-	require.NoError(t, os.RemoveAll(filepath.Join(c.folders[lost], "fleet")))
+	require.NoError(t, os.RemoveAll(filepath.Join(c.stateDirs[lost], "fleet")))
 	c.startNode(lost)
 	require.Eventually(t, func() bool {
 		servers, voters := 0, 0
@@ -55,7 +55,7 @@
 	epoch := awaitHeld(t, a, "home/1") // by m1 and m2
 	c.stopNode("m1")
 	c.stopNode("m2")
-	require.NoError(t, os.RemoveAll(filepath.Join(c.folders["m1"], "fleet")))
+	require.NoError(t, os.RemoveAll(filepath.Join(c.stateDirs["m1"], "fleet")))
 	c.startNode("m1")
 	for _, setLinks := range []func(cluster.MemberID, ...cluster.MemberID){c.partition, c.heal} {
 		setLinks("m3", c.names...)
