--- a/cluster/member/forwarding/receiver_test.go
+++ b/cluster/member/forwarding/receiver_test.go
@@ -23,8 +23,8 @@
 	return NewReceiver(Config{Custody: store})
 }
 
-// After CustodyNeverTaken the webhook is not accepted any more; about another incarnation the reply is
-// CustodyStateLost.
+// A query addressed to another incarnation of the custody directory is answered with CustodyStateLost. After the reply
+// CustodyNeverTaken, the webhook is not accepted any more.
 func TestReceiver_QueryReplyDependsOnIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	id := custody.IDOf("never sent")
@@ -37,16 +37,16 @@
 	r.HandleQuery(&ctx)
 	var replies []shardmap.CustodyReply
 	require.NoError(t, transport.Decode(ctx.Response.Body(), &replies))
-	assert.Equal(t, []shardmap.CustodyReply{
-		shardmap.CustodyNeverTaken, shardmap.CustodyNeverTaken, shardmap.CustodyStateLost,
-	}, replies)
-	r.Custody.UpdateUnsynced(func(table *shardmap.CustodyTable) {
+	assert.Equal(t,
+		[]shardmap.CustodyReply{shardmap.CustodyNeverTaken, shardmap.CustodyNeverTaken, shardmap.CustodyStateLost},
+		replies)
+	r.Custody.UpdateInMemory(func(table *shardmap.CustodyTable) {
 		reply, _ := table.HandleOffer(id, 3, inflight.Now()+api.Second, inflight.Now(), true)
 		assert.Equal(t, shardmap.CustodyNeverTaken, reply)
 	})
 }
 
-// A transfer for a lost folder is not accepted by the one that replaces it.
+// A member that has lost its custody directory accepts nothing from a transfer that is addressed to the lost directory.
 func TestReceiver_RejectsTransferForOtherIncarnation(t *testing.T) {
 	r := newTestReceiver(t)
 	transfer := peer.Transfer{Incarnation: r.Custody.Incarnation + 1, Webhooks: make([]shardmap.TransferredWebhook, 2)}
--- a/cluster/member/session/bench_test.go
+++ b/cluster/member/session/bench_test.go
@@ -17,32 +17,32 @@
 	"rowanlink/webhook/api"
 )
 
-// counted is a listener that counts the bytes of its connections, both ways.
-type counted struct {
+// countingListener is a listener that counts the bytes received and sent on its connections.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c.bytes}, nil
+	return countingConn{conn, c.bytes}, nil
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
@@ -58,8 +58,8 @@
 
 const benchLeaseTTL = 3 * api.Second
 
-// BenchmarkAtRest measures an idle cluster for one lease TTL: three raft nodes and a number of members that hold a lease
-// each and watch the leases, all in this process.
+// BenchmarkAtRest measures an idle cluster, for one lease TTL per iteration. Three raft nodes run in this process,
+// together with a number of members that hold one lease each and watch the leases.
 func BenchmarkAtRest(b *testing.B) {
 	for _, members := range []int{0, 300} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) { benchmarkAtRest(b, members) })
@@ -97,7 +97,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTakeover partitions the leading raft node repeatedly, and measures the time until another one leads.
+// BenchmarkTakeover measures the time until another raft node leads after the leading one was partitioned.
 func BenchmarkTakeover(b *testing.B) {
 	c := startClusterWith(b, benchLeaseTTL, false)
 	var all []float64
