--- a/cluster/rebalance/antiaffinity.go
+++ b/cluster/rebalance/antiaffinity.go
@@ -7,11 +7,11 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// checkAntiAffinity rejects a rule that can't hold: other rules bring two of its ranges together, or there are more
-// ranges than domains.
+// checkAntiAffinity rejects an anti-affinity rule that can't be satisfied: other rules force two of its ranges into one
+// domain (member or zone), or it selects more ranges than there are domains.
 func (p *problem) checkAntiAffinity(rule int) error {
 	r := &p.file.Rules[rule]
-	rangeByDomain := map[string]int{} // by domain, the range that another rule puts there
+	rangeByDomain := map[string]int{} // by domain, the range that another rule forces there
 	for _, i := range p.selected[rule] {
 		by, domain := p.forcedDomain(i, r)
 		if by == nil {
@@ -33,8 +33,8 @@
 	return p.checkDomainCount(rule)
 }
 
-// forcedDomain returns the rule that puts a range in one domain, of an anti-affinity rule, and the domain.
-// The rule is nil if none does.
+// forcedDomain returns the pin or zone affinity that forces a range into one domain of an anti-affinity rule, and
+// describes that domain. by is nil if no rule does.
 func (p *problem) forcedDomain(i int, antiAffinity *planfile.Rule) (by *planfile.Rule, domain string) {
 	c := p.constraints[i]
 	switch {
@@ -48,7 +48,8 @@
 	return nil, ""
 }
 
-// checkDomainCount rejects more ranges than members or zones that may take one of them.
+// checkDomainCount rejects an anti-affinity rule that selects more ranges than there are members, or zones, that may
+// own one of them.
 func (p *problem) checkDomainCount(rule int) error {
 	r, f := &p.file.Rules[rule], p.file
 	domains, unit := []string{}, "members"
--- a/cluster/rebalance/assignment.go
+++ b/cluster/rebalance/assignment.go
@@ -10,53 +10,57 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// A move costs the keys that it moves, and a small part of a key for being a move; less if it is in flight already.
-// Balance takes precedence: a range above a member's quota costs more than all moves together.
+// A move costs costPerKey for each key, and costPerMove so that of two placements that move the same number of keys the
+// one with fewer moves is cheaper. A move that is already in flight costs 1 less. Balance takes precedence over both: a
+// range above a member's quota costs more than all moves together.
 const (
 	costPerKey  = 64
 	costPerMove = 2
 )
 
-// placement is a range on a member.
+// placement assigns one range to one member.
 type placement struct{ rangeIndex, member int }
 
-// assignment is the network of one attempt to assign ranges to members, and what its arcs stand for. Units are
-// ranges: they go from the source by a node of their own or of a group to the node of a member, and on to the sink.
+// assignment is the flow network of one attempt to assign ranges to members, with the meaning of its nodes and arcs.
+// Each unit of flow is a range. It flows from the source through the node of the range or of its group to the node of a
+// member, and on to the sink.
 type assignment struct {
 	*problem
 	net       *mincostflow.Network
 	quotas    []quota
 	forbidden map[placement]bool
 
-	memberNode   []int // by member, for ranges that use its capacity
-	splitOffNode []int // by member, for ranges that were split off, which use none
-	groups       []rangeGroup
-	classes      []targetClass
-	singles      []singleRange
-	directArcs   []directArc
-	gates        map[ruleAtMember]int // nodes that let one range of an anti-affinity rule through to a member
+	memberNode     []int // by member, for base ranges, which use its capacity
+	splitOffNode   []int // by member, for split-off ranges, which use no capacity
+	groups         []rangeGroup
+	classes        []targetClass
+	singles        []singleRange
+	directArcs     []directArc
+	exclusionNodes map[ruleAtMember]int // each lets one range through to its member
 }
 
-// rangeGroup is ranges with one owner and the same allowed members: those of the fewest keys move first.
+// rangeGroup is the ranges with the same owner and the same allowed members. They share a node, as only the number of
+// ranges that move is open: those with the fewest keys move first.
 type rangeGroup struct {
-	ranges     []int // by weight
+	ranges     []int // sorted by weight
 	node       int
 	arcToClass int
 	class      int // index of assignment.classes
 }
 
-// targetClass is the members that ranges with the same constraints may move to.
+// targetClass is the set of members that ranges with the same constraints may move to. All groups of these ranges share
+// its node.
 type targetClass struct {
 	key     string
 	node    int
 	members []int
-	arcs    []int // by index of members
+	arcs    []int // to each of the members
 }
 
 // singleRange is a range with a node of its own.
 type singleRange struct{ rangeIndex, node int }
 
-// directArc is the arc for a placement of a single range.
+// directArc is the arc that stands for one placement of a single range.
 type directArc struct {
 	placement
 	arc int
@@ -64,16 +68,17 @@
 
 type ruleAtMember struct{ rule, member int }
 
-// newAssignment builds the network: ranges stay with their owner for nothing or go to another member at their cost; a
-// member takes as many as its capacity, at a price that rises above its quota. Ranges of one anti-affinity rule pass
-// a gate at each member.
+// newAssignment builds the network. A range stays with its owner at no cost, or moves to another member at the cost of
+// the move. A member takes as many ranges as its capacity allows, at a cost per range that rises with their number.
+// Ranges under one anti-affinity rule reach a member through an exclusion node: a node with an outgoing capacity of 1,
+// so that the member gets at most one of them.
 func (p *problem) newAssignment(quotas []quota, forbidden map[placement]bool) *assignment {
 	a := &assignment{
-		problem:   p,
-		net:       mincostflow.New(),
-		quotas:    quotas,
-		forbidden: forbidden,
-		gates:     map[ruleAtMember]int{},
+		problem:        p,
+		net:            mincostflow.New(),
+		quotas:         quotas,
+		forbidden:      forbidden,
+		exclusionNodes: map[ruleAtMember]int{},
 	}
 	a.addMembers()
 	for m := range p.members {
@@ -84,12 +89,13 @@
 	return a
 }
 
-// addMembers adds a node for each member, with an arc to the sink whose price keeps the member near its quota: each
-// range below the quota costs less than the next, and one above it costs more than all moves together.
+// addMembers adds a node for each member, with an arc to the sink whose cost keeps the member near its quota: up to the
+// quota and beyond it, each range costs more than the one before, and each such difference is larger than the cost of
+// all moves together.
 func (a *assignment) addMembers() {
-	aboveAllMoves := int64(1)
+	balanceCost := int64(1)
 	for i := range a.ranges {
-		aboveAllMoves += costPerKey*a.weights[i] + costPerMove
+		balanceCost += costPerKey*a.weights[i] + costPerMove
 	}
 	largestQuota := 0
 	for _, q := range a.quotas {
@@ -109,16 +115,16 @@
 		a.net.AddConvexArc(node, mincostflow.Sink, capacity, func(unit int) int64 {
 			switch {
 			case unit < q.low:
-				return aboveAllMoves * int64(largestQuota-q.low+unit)
+				return balanceCost * int64(largestQuota-q.low+unit)
 			case unit < q.high:
-				return aboveAllMoves * int64(largestQuota)
+				return balanceCost * int64(largestQuota)
 			}
-			return aboveAllMoves * int64(largestQuota+unit-q.high+1)
+			return balanceCost * int64(largestQuota+unit-q.high+1)
 		})
 	}
 }
 
-// addRanges adds the nodes of ranges: ranges that are alike but for their keys share one.
+// addRanges adds the nodes of ranges. Ranges that differ only in their number of keys share one.
 func (a *assignment) addRanges() {
 	needsOwnNode := make([]bool, len(a.ranges))
 	for p := range maps.Keys(a.forbidden) {
@@ -153,7 +159,7 @@
 	}
 }
 
-// classOf returns the index of the class of a key, which it adds if it is new.
+// classOf returns the index of the class with a key of allowedMembers. It adds the class if it is new.
 func (a *assignment) classOf(key string, members []int) int {
 	if k := slices.IndexFunc(a.classes, func(c targetClass) bool { return c.key == key }); k >= 0 {
 		return k
@@ -180,14 +186,14 @@
 	})
 }
 
-// addSingleRange adds a range with a node and arcs of its own. Only ranges of a single anti-affinity rule by member
-// pass gates; the other anti-affinity rules are enforced by forbidden placements.
+// addSingleRange adds a range with a node and arcs of its own. Exclusion nodes enforce the anti-affinity of ranges
+// under a single rule by member (see usesExclusionNodes); all other anti-affinity is enforced by forbidden placements.
 func (a *assignment) addSingleRange(i int) {
 	node := a.net.AddNode()
 	a.singles = append(a.singles, singleRange{rangeIndex: i, node: node})
 	a.net.AddArc(mincostflow.Source, node, 1, 0)
 	_, members := a.allowedMembers(i)
-	isGated := a.passesGates(i)
+	isExclusive := a.usesExclusionNodes(i)
 	for _, m := range members {
 		if a.forbidden[placement{i, m}] {
 			continue
@@ -196,17 +202,18 @@
 		if !a.isBase(i) {
 			to = a.splitOffNode[m]
 		}
-		if isGated {
-			to = a.gate(ruleAtMember{a.constraints[i].antiAffinity[0], m}, to)
+		if isExclusive {
+			to = a.exclusionNode(ruleAtMember{a.constraints[i].antiAffinity[0], m}, to)
 		}
 		arc := a.net.AddArc(node, to, 1, a.moveCost(i, m))
 		a.directArcs = append(a.directArcs, directArc{placement: placement{i, m}, arc: arc})
 	}
 }
 
-// passesGates reports whether gates enforce a range's anti-affinity: it is under one rule, by member, whose ranges all
-// use capacity, or all use none.
-func (a *assignment) passesGates(i int) bool {
+// usesExclusionNodes reports whether exclusion nodes enforce a range's anti-affinity. They do if the range is under a
+// single anti-affinity rule, by member, and the rule selects base ranges only or split-off ranges only: an exclusion
+// node leads to one node of the member, and the two kinds of ranges have different ones.
+func (a *assignment) usesExclusionNodes(i int) bool {
 	rules := a.constraints[i].antiAffinity
 	if len(rules) != 1 || a.file.Rules[rules[0]].ByZone {
 		return false
@@ -214,18 +221,19 @@
 	return !slices.ContainsFunc(a.selected[rules[0]], func(k int) bool { return a.isBase(k) != a.isBase(i) })
 }
 
-// gate returns the gate of a rule at a member, which it adds if it is new.
-func (a *assignment) gate(at ruleAtMember, to int) int {
-	node, isKnown := a.gates[at]
+// exclusionNode returns the exclusion node of a rule at a member. It adds the node, with an arc to a given one, if it
+// is new.
+func (a *assignment) exclusionNode(at ruleAtMember, to int) int {
+	node, isKnown := a.exclusionNodes[at]
 	if !isKnown {
 		node = a.net.AddNode()
-		a.gates[at] = node
+		a.exclusionNodes[at] = node
 		a.net.AddArc(node, to, 1, 0)
 	}
 	return node
 }
 
-// moveCost returns the cost of moving a range, and those that follow it, to a member.
+// moveCost returns the cost of moving a range, and the split-off ranges that follow it, to a member.
 func (p *problem) moveCost(i, to int) int64 {
 	sum := p.ownMoveCost(i, to)
 	for k := i + 1; p.isBase(i) && k < len(p.ranges) && p.base[k] == i; k++ {
@@ -246,8 +254,8 @@
 	return costPerKey*p.weights[i] + costPerMove
 }
 
-// solve solves the network and returns each range's member and the cost of it all, or false if some range
-// can't be assigned.
+// solve solves the network and returns the member of each range and the total cost. ok is false if some range can't be
+// assigned.
 func (a *assignment) solve() (target []int, cost int64, ok bool) {
 	placed := a.net.Solve()
 	target = slices.Clone(a.owner)
@@ -266,8 +274,8 @@
 	return target, a.net.Cost(), placed == len(a.ranges)
 }
 
-// assignGroups assigns the ranges that leave their owner by a class to its members. A member doesn't get back what it
-// owns if something else is left.
+// assignGroups assigns the ranges that leave their owner to the members of their class, as many to each member as the
+// flow says. A member gets one of its own ranges back only if no other range is left.
 func (a *assignment) assignGroups(target []int) {
 	leaving := make([][]int, len(a.classes))
 	for _, g := range a.groups {
--- a/cluster/rebalance/eulertrail.go
+++ b/cluster/rebalance/eulertrail.go
@@ -169,7 +169,7 @@
 	freeAfter := s.freeAfter()
 	for n, k := range component {
 		via := s.earliestDetour(s.moves[k], freeAfter)
-		if via == none {
+		if via == noMember {
 			continue
 		}
 		first, last := s.moves[k], s.moves[k]
@@ -190,12 +190,12 @@
 
 // earliestDetour returns the member that has a vacancy for a detour of a move first, or none.
 func (s *sequencer) earliestDetour(v move, freeAfter []int) int {
-	best := none
+	best := noMember
 	for m := range s.members {
 		if freeAfter[m] == neverFree || !s.allowsDetour(v, m) {
 			continue
 		}
-		if best == none || freeAfter[m] < freeAfter[best] {
+		if best == noMember || freeAfter[m] < freeAfter[best] {
 			best = m
 		}
 	}
--- a/cluster/rebalance/infeasible.go
+++ b/cluster/rebalance/infeasible.go
@@ -8,8 +8,9 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// infeasibleError names the ranges that can't be placed: those on the source's side of a minimum cut of the network, with
-// the members that they are bound to and the rules that bind them.
+// infeasibleError explains why the ranges can't all be placed. It names the ranges on the source's side of a minimum
+// cut of the network, the full members on that side, which are the only ones that these ranges may go to, and the rules
+// that select the ranges or exclude members.
 func (a *assignment) infeasibleError() error {
 	reached := a.net.SourceSide()
 	ranges := a.reachedRanges(reached)
@@ -44,7 +45,7 @@
 			fmt.Sprintf("%q (line %d) has capacity %d", member.ID, member.Line, member.Capacity))
 	}
 	if len(fullMembers) == 0 {
-		fullMembers = []string{"no member may have them"}
+		fullMembers = []string{"no member is allowed to own them"}
 	}
 	text := fmt.Sprintf("%d ranges have to share a capacity of %d: %s", len(ranges), capacity, planfile.JoinSome(fullMembers))
 	if len(reasons) > 0 {
@@ -53,7 +54,7 @@
 	return a.file.Errorf(cmp.Or(line, a.members[0].Line), "%s", text)
 }
 
-// reachedRanges returns the ranges whose node is reached, sorted.
+// reachedRanges returns the ranges whose node the source still reaches, sorted.
 func (a *assignment) reachedRanges(reached []bool) []int {
 	var ranges []int
 	for _, group := range a.groups {
@@ -70,8 +71,9 @@
 	return ranges
 }
 
-// describeRules names the rules that select some ranges, but for one. If there are none besides that one, it names
-// all that could conflict with it.
+// describeRules describes the rules that select some of the ranges, without the rule except, which may be nil. If no
+// other rule selects them, it describes everything that could conflict with that rule: the rules of other kinds than
+// anti-affinity, and the capacities.
 func (p *problem) describeRules(ranges []int, except *planfile.Rule) []string {
 	var rules []int
 	for _, i := range ranges {
--- a/cluster/rebalance/placement.go
+++ b/cluster/rebalance/placement.go
@@ -8,19 +8,20 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// maxAttempts bounds the networks solved for ranges with anti-affinity by zone or by several rules. Other plans need
-// one.
+// maxAttempts bounds the networks that are solved for one plan. Plans whose anti-affinity is
+// enforced by exclusion nodes need one.
 const maxAttempts = 200
 
-// candidate is a placement of all ranges that some anti-affinity rules may not allow yet.
+// candidate is a placement of all ranges. It may still violate anti-affinity rules that the network doesn't enforce.
 type candidate struct {
 	target    []int // by range
 	cost      int64
 	forbidden map[placement]bool
 }
 
-// placementSearch is a branch-and-bound search: where a solution of the network brings together two ranges with
-// anti-affinity, the placement of one or the other is forbidden.
+// placementSearch is a branch-and-bound search. Where a solution of the network puts two ranges into one domain against
+// an anti-affinity rule, it branches: one branch forbids the placement of the first range, the other that of the
+// second.
 type placementSearch struct {
 	*problem
 	quotas     []quota
@@ -38,15 +39,15 @@
 	return candidate{target: target, cost: cost, forbidden: forbidden}, ok
 }
 
-// choosePlacement finds a member for each range by the rules: as near to the members' quotas as possible, and then
-// with as few keys moved as possible. isOptimal tells whether that is proven.
+// choosePlacement finds a placement that the rules allow: as close to the members' quotas as possible, and among those
+// the one that moves the fewest keys. isOptimal reports whether the search has proven that.
 func (p *problem) choosePlacement() (best candidate, isOptimal bool, err error) {
 	s := &placementSearch{problem: p, quotas: p.quotas()}
 	root, ok := s.solve(nil)
 	if !ok {
 		return root, false, s.infeasible
 	}
-	best, found := s.findFirst(root)
+	best, found := s.findInitial(root)
 	open := []candidate{root}
 	for len(open) > 0 && s.attempts < maxAttempts {
 		next := cheapest(open)
@@ -72,8 +73,9 @@
 	return best, len(open) == 0, nil
 }
 
-// findFirst forbids the weaker placement of each conflict until there is none. What it finds bounds the search.
-func (s *placementSearch) findFirst(root candidate) (first candidate, found bool) {
+// findInitial forbids the weaker placement of each conflict until no conflict is left. The cost of what it finds is the
+// first upper bound of the search.
+func (s *placementSearch) findInitial(root candidate) (initial candidate, found bool) {
 	for c, ok := root, true; ok && s.attempts < maxAttempts/2; {
 		conflicts := s.conflicts(c.target)
 		if len(conflicts) == 0 {
@@ -88,7 +90,7 @@
 	return candidate{}, false
 }
 
-// cheapest returns the index of the first candidate of the least cost.
+// cheapest returns the index of the first candidate with the least cost.
 func cheapest(candidates []candidate) int {
 	best := 0
 	for k := range candidates {
@@ -99,28 +101,29 @@
 	return best
 }
 
-// conflict is two ranges that an anti-affinity rule doesn't allow in one domain.
+// conflict is a pair of ranges that a candidate puts into one domain against an anti-affinity rule.
 type conflict struct {
 	rule             int
 	stronger, weaker placement // by preference
 }
 
+// conflicts returns the violations of anti-affinity rules in a placement of all ranges.
 func (p *problem) conflicts(target []int) (found []conflict) {
 	for k := range p.file.Rules {
 		rule := &p.file.Rules[k]
 		if rule.Kind != planfile.AntiAffinity {
 			continue
 		}
-		rangeIn := map[string]int{} // by domain, the range that stays there
+		rangeByDomain := map[string]int{} // by domain, the range that is preferred there
 		for _, i := range p.selected[k] {
 			domain := p.antiAffinityDomain(rule, target[i])
-			other, isTaken := rangeIn[domain]
+			other, isTaken := rangeByDomain[domain]
 			if !isTaken {
-				rangeIn[domain] = i
+				rangeByDomain[domain] = i
 				continue
 			}
 			if p.preference(i, target[i]) > p.preference(other, target[other]) {
-				rangeIn[domain] = i
+				rangeByDomain[domain] = i
 				other, i = i, other
 			}
 			found = append(found, conflict{
@@ -133,7 +136,8 @@
 	return found
 }
 
-// preference ranks the reasons that a range has for staying on a member: a pin, its owner (by keys), a zone.
+// preference ranks how strongly a range belongs on a member. A pin ranks first, then ownership by that member (more
+// keys rank higher), then a zone affinity.
 func (p *problem) preference(i, member int) int64 {
 	switch c := p.constraints[i]; {
 	case c.pin != nil:
@@ -146,7 +150,8 @@
 	return 0
 }
 
-// forbid returns the forbidden placements with one more: with all of its zone, if the rule is by zone.
+// forbid returns a copy of the forbidden placements with one more, or one for each member of the zone if the rule is by
+// zone.
 func (p *problem) forbid(forbidden map[placement]bool, rule int, what placement) map[placement]bool {
 	next := maps.Clone(forbidden)
 	if next == nil {
--- a/cluster/rebalance/plan.go
+++ b/cluster/rebalance/plan.go
@@ -1,8 +1,8 @@
 // Package rebalance moves key ranges between the members of the cluster as a plan file states (package planfile). It
-// holds the planner, which chooses each range's member and orders the moves there; the progress of the running plan,
-// which is replicated in the raft log; the scheduler, which computes the next actions of the coordinator; and the impact
-// of moves on webhooks, which may stop a plan. It has no clock, I/O or goroutines. docs/cluster.md, "The plan language",
-// has the reasons.
+// has four parts: the planner chooses a member for each range and orders the moves; Progress is the state of the
+// running plan, replicated in the raft log; the scheduler computes the coordinator's next actions; and the impact meter
+// measures the effect of moves on webhooks, which may stop a plan. The package uses no clock, I/O or goroutines.
+// docs/cluster.md, "The plan language", has the reasons for this design.
 package rebalance
 
 import (
@@ -17,76 +17,79 @@
 // StepKind is the kind of a step. The values are stored in the raft log.
 type StepKind uint8
 
-// The kinds of steps.
+// The kinds of steps. A detour is needed where full members exchange ranges: none of them has free capacity for the
+// first move, so that one range waits on another member until its target has capacity.
 const (
 	StepMove     StepKind = iota + 1 // a move to the range's target
-	StepDetour                       // a move to free capacity elsewhere, since all that exchange ranges are full
-	StepContinue                     // a move that was in flight before the plan and goes on
+	StepDetour                       // the first part of a move by way of another member, to free capacity
+	StepContinue                     // a move that was in flight before the plan and continues
 	StepRollBack                     // a move that was in flight before the plan and is rolled back
-	StepSplit                        // no move: what lies from SplitKey on becomes range OtherRange
-	StepMerge                        // no move: range OtherRange becomes a part of Range
+	StepSplit                        // no move: the hashes of Range from SplitKey on become range OtherRange
+	StepMerge                        // no move: range OtherRange is merged into Range
 )
 
-// movesRange reports whether steps of a kind move a range to their target.
+// movesRange reports whether steps of this kind move a range to the step's target.
 func (k StepKind) movesRange() bool { return k == StepMove || k == StepDetour || k == StepContinue }
 
-// wasInFlight reports whether steps of a kind are moves that began before the plan.
+// wasInFlight reports whether steps of this kind are moves that began before the plan.
 func (k StepKind) wasInFlight() bool { return k == StepContinue || k == StepRollBack }
 
-// reshapes reports whether steps of a kind split or merge ranges.
+// reshapes reports whether steps of this kind split or merge ranges.
 func (k StepKind) reshapes() bool { return k == StepSplit || k == StepMerge }
 
-// Step is one move, split or merge. It may start once each step of DependsOn is done, and each step that has a rule of
-// AfterRules.
+// Step is one move, split or merge. It may start once all steps in DependsOn are done, and all steps that move a range
+// by one of the rules in AfterRules.
 type Step struct {
-	Range      cluster.RangeID  `cbor:"1,keyasint"` // 0: of an owner that was lost, only to be cleared
+	Range      cluster.RangeID  `cbor:"1,keyasint"` // 0: of a detached move, whose range failed over
 	From       cluster.MemberID `cbor:"2,keyasint"`
 	To         cluster.MemberID `cbor:"3,keyasint"`
 	Kind       StepKind         `cbor:"4,keyasint"`
 	Move       shardmap.MoveID  `cbor:"5,keyasint,omitempty"` // set for moves that have begun
 	DependsOn  []Dependency     `cbor:"6,keyasint,omitempty"`
-	Rules      []int            `cbor:"7,keyasint,omitempty"` // indexes of the file's rules by which the range moves
-	AfterRules []int            `cbor:"8,keyasint,omitempty"` // indexes of rules
+	Rules      []int            `cbor:"7,keyasint,omitempty"` // indexes of the file's rules that the move counts for
+	AfterRules []int            `cbor:"8,keyasint,omitempty"` // indexes of rules whose steps have to be done first
 	Keys       uint64           `cbor:"9,keyasint"`
 	SplitKey   cluster.KeyHash  `cbor:"10,keyasint,omitempty"`
 	OtherRange cluster.RangeID  `cbor:"11,keyasint,omitempty"`
 }
 
-// Dependency is an earlier step that has to be done, and the reason.
+// Dependency is an earlier step that has to be done first, and the reason.
 type Dependency struct {
 	Step   int              `cbor:"1,keyasint"`
 	Reason DependencyReason `cbor:"2,keyasint"`
 }
 
-// DependencyReason is the reason for which a step depends on another. The values are stored in the raft log.
+// DependencyReason tells why a step depends on another. The values are stored in the raft log.
 type DependencyReason uint8
 
 // The reasons for dependencies.
 const (
 	CapacityFreed DependencyReason = iota + 1 // the earlier step frees the capacity that this one uses
-	SameRange                                 // both move one range
-	RangeBoundary                             // the range is split off by the earlier step, or merged once that is done
+	SameRange                                 // both steps move the same range
+	RangeBoundary                             // the earlier step splits off the range, or must precede its split or merge
 )
 
-// Plan is the steps from one map to what the file states. Each step depends on earlier ones only.
+// Plan is the list of steps that lead from a shard map to the placement that a file states. Each step depends on
+// earlier ones only.
 type Plan struct {
-	Version         cluster.Version // of the map
+	Version         cluster.Version // of the map that the steps start from
 	Steps           []Step
-	TotalKeys       uint64 // in all ranges; where the counts aren't known, parts of the hashes
-	MovedKeys       uint64 // twice for a range that makes a detour
-	MinMovedKeys    uint64 // keys that any plan moves which is as near to the members' quotas
-	Optimal         bool   // MinMovedKeys is that, and not only what rules force away from where it is
+	TotalKeys       uint64 // in all ranges; their shares of the hash space if key counts are unknown
+	MovedKeys       uint64 // a range that makes a detour counts twice
+	MinMovedKeys    uint64 // fewest keys that a plan as close to the quotas moves, or a lower bound
+	Optimal         bool   // MinMovedKeys is exact; else it counts just what rules force off its owner
 	RangesPerMember map[cluster.MemberID]int
 }
 
-// NewPlan chooses where each range shall be and orders the moves there. keys returns how many keys a range has; if it
-// is nil, ranges count by their part of the hashes. An error is one line, and names both lines if two contradict
-// each other; it is a *RangeMovingError if a range that moves has to be split first.
+// NewPlan chooses a member for each range and orders the moves. keys returns the number of keys in a range; if it is
+// nil, a range's share of the hash space counts instead. An error is one line of text; if two lines of the file
+// contradict each other, it names both. The error is a *RangeMovingError if a range has to be split that is still
+// moving.
 //
-// The plan minimises first the members' distance from their quotas by weight, then the keys moved, then the moves. The
-// first two are proven to be minimal, unless ranges have anti-affinity by zone or by several rules at once and the
-// search for those ends early. Detours come on top: one, of few keys, for each set of full members that exchange
-// ranges.
+// The plan minimizes, in this order, the members' deviation from their quotas, the keys moved, and the number of moves.
+// The first two are exact minima, unless the search for ranges with anti-affinity by zone or by several rules ends at
+// its limit. Detours are added to that: one for each set of full members that exchange ranges, made by a range of few
+// keys.
 func NewPlan(f *planfile.File, m *shardmap.Map, keys func(cluster.RangeID) uint64) (*Plan, error) {
 	if len(m.Ranges) == 0 {
 		return nil, fmt.Errorf("%s:1: there is no shard map yet", f.Name)
@@ -117,7 +120,7 @@
 	return plan, nil
 }
 
-// summarize counts the keys and ranges of a plan.
+// summarize sets the key counts and the number of ranges per member of a plan.
 func (p *problem) summarize(plan *Plan, target []int) {
 	for i, to := range target {
 		plan.TotalKeys += p.keyCounts[i]
@@ -141,7 +144,7 @@
 	return isKnown && p.ranges[i].Owner == s.To
 }
 
-// isForcedAway reports whether no rule would let a range stay on a member.
+// isForcedAway reports whether the rules don't allow a range to stay on a member.
 func (p *problem) isForcedAway(i, member int) bool {
 	_, allowed := p.allowedMembers(i)
 	return !slices.Contains(allowed, member)
--- a/cluster/rebalance/precedence.go
+++ b/cluster/rebalance/precedence.go
@@ -7,7 +7,8 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// moveRules returns the rules by which a range moves away from a member.
+// moveRules returns the rules that the move of a range off a member counts for: the rules that select the range and the
+// drain of the member, without those that another of them precedes.
 func (p *problem) moveRules(i, from int) []int {
 	rules := slices.Clone(p.constraints[i].rules)
 	if from < len(p.members) && !p.stays[from] {
@@ -21,7 +22,8 @@
 	return p.firstRules(rules)
 }
 
-// firstRules returns the rules that no other of them precedes: a range that is under two moves with the first.
+// firstRules returns those of the rules that no other of them precedes: a range under two ordered rules moves with the
+// first.
 func (p *problem) firstRules(rules []int) []int {
 	isPreceded := func(k int) bool {
 		return slices.ContainsFunc(p.precedingRules(k), func(b int) bool { return slices.Contains(rules, b) })
@@ -31,7 +33,7 @@
 	return first
 }
 
-// precedingRules returns all rules that precede one, directly or by others.
+// precedingRules returns all rules that precede a rule, directly or transitively.
 func (p *problem) precedingRules(rule int) (preceding []int) {
 	stack := []int{rule}
 	for len(stack) > 0 {
--- a/cluster/rebalance/problem.go
+++ b/cluster/rebalance/problem.go
@@ -12,10 +12,11 @@
 	"rowanlink/webhook/api"
 )
 
-// none is the index of no member, where a member's index is optional.
-const none = -1
+// noMember stands for "no member" where the index of a member is optional.
+const noMember = -1
 
-// constraints is what the rules require of one range. Where several rules require the same, errors name the first.
+// constraints holds the rules that apply to one range. Of several rules that require the same, one is retained for
+// errors: the first pin, unless there is a Dedicated rule, and the last zone affinity.
 type constraints struct {
 	pin          *planfile.Rule // of kind Pin or Dedicated
 	zone         *planfile.Rule // of kind ZoneAffinity
@@ -23,24 +24,24 @@
 	rules        []int          // indexes of all rules that select the range; Drain selects none
 }
 
-// problem is a plan file applied to a map: which member shall own each range. Members and ranges are named by their
-// indexes in the file and in the map.
+// problem is the planner's input, a plan file applied to a shard map. Members, rules and ranges are identified by their
+// index: members and rules in the file, ranges in the map.
 type problem struct {
 	file    *planfile.File
 	members []planfile.Member
 	ranges  []shardmap.Range
 
-	keyCounts     []uint64 // by range; its part of the hashes where the counts aren't known
-	weights       []int64  // by range: key counts scaled down so that costs can't overflow
-	owner         []int    // by range; none: a member that the file doesn't have
-	pendingTarget []int    // by range, where a move goes that can still be rolled back; none: there is no such move
+	keyCounts     []uint64 // by range; its share of the hash space if key counts are unknown
+	weights       []int64  // by range: its key count, scaled down so that costs can't overflow
+	owner         []int    // by range; noMember: its owner isn't in the file
+	pendingTarget []int    // by range, the target of its open move if that can still be rolled back; else noMember
 	base          []int    // by range, the range that it was split off from; itself if it wasn't
-	followsBase   []bool   // by range: it was split off and goes where its base range goes
+	followsBase   []bool   // by range: it was split off and is placed where its base range is
 	constraints   []constraints
 
-	selected  [][]int          // by rule, the ranges that it selects, in order
-	stays     []bool           // by member: it isn't drained
-	dedicated []*planfile.Rule // by member, the rule that dedicates it; nil: none
+	selected  [][]int          // by rule, the ranges that it selects, in the map's order
+	stays     []bool           // by member: no rule drains it
+	dedicated []*planfile.Rule // by member, the rule that dedicates it, or nil
 
 	memberIndex map[cluster.MemberID]int
 	rangeIndex  map[cluster.RangeID]int
@@ -67,7 +68,7 @@
 	for i, r := range p.ranges {
 		p.rangeIndex[r.ID] = i
 		p.owner = append(p.owner, p.findMember(r.Owner))
-		target := none
+		target := noMember
 		if canRollBack(r.Move) {
 			target = p.findMember(r.Move.To)
 		}
@@ -84,11 +85,12 @@
 	if i, ok := p.memberIndex[id]; ok {
 		return i
 	}
-	return none
+	return noMember
 }
 
-// setKeyCounts takes the keys of each range from a function, or else its part of the hashes. The weights are scaled
-// down so that no cost overflows: a cost is at most the sum of all keys, times costPerKey, times twice the ranges.
+// setKeyCounts sets the key count and the weight of each range. If keys is nil, a range's share of the hash space
+// counts as its keys. Weights are key counts scaled down so that no cost overflows: a cost is at most the sum of all
+// weights times costPerKey, times twice the number of ranges.
 func (p *problem) setKeyCounts(keys func(cluster.RangeID) uint64) {
 	sumBits := 60 - bits.Len(costPerKey) - 2*bits.Len(uint(len(p.ranges)))
 	largest := uint64(0)
@@ -140,25 +142,25 @@
 	return nil
 }
 
-// selectRanges returns the ranges that a rule selects, in order.
+// selectRanges returns the ranges that a rule selects, in the map's order.
 func (p *problem) selectRanges(rule *planfile.Rule) ([]int, error) {
 	var selected []int
-	firstDestination := map[int]int{} // by range, the index of the last destination in it
+	lastDestination := map[int]int{} // by range, the index of the last destination found in it
 	destinations := rule.Selector.Destinations
 	for k, d := range destinations {
 		i := p.rangeAt(p.hashOf(d))
-		other, isTaken := firstDestination[i]
+		other, isTaken := lastDestination[i]
 		if isTaken && rule.Kind == planfile.AntiAffinity && destinations[other] != d {
 			return nil, p.file.Errorf(rule.Line,
 				"apart %q: destinations %d and %d are in one range (%d); split it first",
 				rule.Name, destinations[other], d, p.ranges[i].ID)
 		}
-		firstDestination[i] = k
+		lastDestination[i] = k
 		selected = append(selected, i)
 	}
 	if rule.Selector.HasHashes {
 		for i := p.rangeAt(rule.Selector.FirstHash); i < len(p.ranges) && p.ranges[i].From <= rule.Selector.LastHash; i++ {
-			// The parts of one range aren't kept apart from one another.
+			// Anti-affinity doesn't separate a range from the parts that were split off it.
 			if rule.Kind != planfile.AntiAffinity || p.isBase(i) {
 				selected = append(selected, i)
 			}
@@ -168,7 +170,7 @@
 	return slices.Compact(selected), nil
 }
 
-// rangeAt returns the range that a hash is in.
+// rangeAt returns the index of the range that contains a hash.
 func (p *problem) rangeAt(hash cluster.KeyHash) int {
 	i, _ := slices.BinarySearchFunc(p.ranges, hash, func(r shardmap.Range, hash cluster.KeyHash) int {
 		return cmp.Compare(r.To, hash)
@@ -176,7 +178,8 @@
 	return i
 }
 
-// describeRange names a range as the operator knows it: by a destination of one of the rules if possible.
+// describeRange describes a range for an error: by a destination that one of the rules names, if the range contains
+// one, since operators know destinations rather than range IDs.
 func (p *problem) describeRange(i int, rules ...*planfile.Rule) string {
 	for _, rule := range rules {
 		for _, d := range rule.Selector.Destinations {
@@ -188,7 +191,8 @@
 	return fmt.Sprintf("range %d", p.ranges[i].ID)
 }
 
-// constrain adds a rule to the constraints of a range. Of two rules that contradict each other, the later is rejected.
+// constrain adds a rule to the constraints of a range. If the rule contradicts an earlier one, the error is about the
+// later of the two.
 func (p *problem) constrain(i, rule int) error {
 	r, c := &p.file.Rules[rule], &p.constraints[i]
 	c.rules = append(c.rules, rule)
@@ -223,7 +227,8 @@
 
 func (p *problem) zoneOf(id cluster.MemberID) string { return p.members[p.memberIndex[id]].Zone }
 
-// checkPins rejects ranges that are pinned to a member beyond its capacity, or to a member dedicated to others.
+// checkPins rejects pins of more ranges to a member than its capacity, and pins to a member that is dedicated to other
+// ranges.
 func (p *problem) checkPins() error {
 	pinned := make([]int, len(p.members))
 	for i := range p.ranges {
@@ -249,8 +254,8 @@
 	return nil
 }
 
-// allowedMembers returns the members that may own a range, and a key that is the same for ranges with the same
-// allowed members.
+// allowedMembers returns the members that may own a range, and a key that identifies this set of members: ranges with
+// the same key have the same allowed members.
 func (p *problem) allowedMembers(i int) (key string, members []int) {
 	if p.followsBase[i] {
 		i = p.base[i]
--- a/cluster/rebalance/quota.go
+++ b/cluster/rebalance/quota.go
@@ -5,18 +5,19 @@
 // shareTolerance absorbs the rounding errors of shares, which are sums of floating-point numbers.
 const shareTolerance = 1e-6
 
-// quota is how many ranges a member should own: its exact share, rounded down and up.
+// quota is the number of ranges that a member should own: its exact share, rounded down and rounded up.
 type quota struct{ low, high int }
 
-// shareBounds bounds the members' shares of the ranges.
+// shareBounds holds the bounds of the members' shares of the ranges.
 type shareBounds struct {
 	low, high []float64          // by member
-	zoneLow   map[string]float64 // by zone, what rules put there
-	total     float64            // ranges to share
+	zoneLow   map[string]float64 // by zone, the number of ranges that rules place there
+	total     float64            // number of ranges to share
 }
 
-// quotas returns each member's quota by weight, within its capacity. What rules put on a member or in a zone is the
-// least of its share, and the others share the rest: first within the zone, then among all zones.
+// quotas returns each member's quota, by weight and within its capacity. The ranges that rules place on a member or in
+// a zone are the lower bound of its share. If a bound is above the share by weight, the other members of the zone, or
+// the other zones, share what is left.
 func (p *problem) quotas() []quota {
 	shares := p.shares(p.shareBounds())
 	quotas := make([]quota, len(shares))
@@ -63,11 +64,11 @@
 	return b
 }
 
-// shares returns each member's exact share. A zone that would get less than rules put there gets just that, and the
-// remaining zones share the rest; so on until no zone is left that gets too little.
+// shares returns each member's exact share. A zone whose share is below the number of ranges that rules place there
+// gets exactly that number, and the remaining zones share the rest. This repeats until no zone gets too little.
 func (p *problem) shares(b shareBounds) []float64 {
 	shares := make([]float64, len(p.members))
-	openZones := map[string][]int{} // members of the zones that don't have their share yet
+	openZones := map[string][]int{} // by zone whose share isn't fixed yet, its members
 	for m, member := range p.members {
 		openZones[member.Zone] = append(openZones[member.Zone], m)
 	}
@@ -99,8 +100,8 @@
 	return shares
 }
 
-// distribute shares n ranges among members by weight, each within its bounds, as far as that is possible. It finds by
-// bisection the number of ranges per unit of weight.
+// distribute sets the shares of members so that they sum up to n ranges, by weight and each within its bounds, as far
+// as the bounds allow. It finds the number of ranges per unit of weight by bisection.
 func (p *problem) distribute(shares []float64, members []int, n float64, b shareBounds) {
 	weight := p.effectiveWeights(members, n, b)
 	distributeAt := func(perWeight float64) (sum float64) {
@@ -126,8 +127,8 @@
 	distributeAt(high)
 }
 
-// effectiveWeights returns the weights by which members share n ranges. If those with a weight have no capacity for
-// all of them, those without one take the rest.
+// effectiveWeights returns the weights by which members share n ranges. If the members with a weight above 0 don't have
+// the capacity for all of them, members of weight 0 take the rest.
 func (p *problem) effectiveWeights(members []int, n float64, b shareBounds) func(m int) float64 {
 	capacity := 0.0
 	for _, m := range members {
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -47,7 +47,7 @@
 	}
 	for k := range s.moves {
 		search.byUrgency = append(search.byUrgency, k)
-		search.detour = append(search.detour, none)
+		search.detour = append(search.detour, noMember)
 	}
 	slices.SortStableFunc(search.byUrgency, func(a, b int) int {
 		return cmp.Compare(s.urgency(a), s.urgency(b))
@@ -114,7 +114,7 @@
 func (s *sequenceSearch) tryMoves() bool {
 	for _, k := range s.byUrgency {
 		canStart := !s.isDone[k] && s.free[s.moves[k].to] > 0 && s.isDue(k, s.remaining)
-		if canStart && s.try(transition{k, none}) {
+		if canStart && s.try(transition{k, noMember}) {
 			return true
 		}
 	}
@@ -168,7 +168,7 @@
 
 func (s *sequenceSearch) apply(t transition) {
 	from, to := s.slots(t)
-	if t.detour != none {
+	if t.detour != noMember {
 		s.detoursLeft--
 		s.detour[t.move] = t.detour
 	} else {
@@ -183,9 +183,9 @@
 
 // revert undoes apply.
 func (s *sequenceSearch) revert(t transition) {
-	if t.detour != none {
+	if t.detour != noMember {
 		s.detoursLeft++
-		s.detour[t.move] = none
+		s.detour[t.move] = noMember
 	} else {
 		s.isDone[t.move] = false
 		for _, r := range s.moves[t.move].rules {
@@ -200,10 +200,10 @@
 // slots returns the slots that a transition frees and uses, by the state before it.
 func (s *sequenceSearch) slots(t transition) (from, to int) {
 	v := s.moves[t.move]
-	if t.detour != none {
+	if t.detour != noMember {
 		return v.from, t.detour
 	}
-	if at := s.detour[t.move]; at != none {
+	if at := s.detour[t.move]; at != noMember {
 		return at, v.to
 	}
 	return v.from, v.to
@@ -227,7 +227,7 @@
 func (s *sequencer) applyTransitions(path []transition) {
 	secondMove := map[int]int{} // by move with a detour, the move that completes it
 	for _, t := range path {
-		if t.detour != none {
+		if t.detour != noMember {
 			second := s.moves[t.move]
 			second.from = t.detour
 			secondMove[t.move] = len(s.moves)
@@ -278,7 +278,7 @@
 
 func (s *sequenceSearch) restoreFurthest() {
 	for k := range s.isDone {
-		s.isDone[k], s.detour[k] = false, none
+		s.isDone[k], s.detour[k] = false, noMember
 	}
 	s.remaining = s.remainingByRule()
 	s.free = slices.Clone(s.sequencer.free)
