--- a/cluster/rebalance/eulertrail.go
+++ b/cluster/rebalance/eulertrail.go
@@ -6,13 +6,14 @@
 	"slices"
 )
 
-// A move from a to b fills a vacancy at b and creates one at a, so that the vacancy moves from b to a. An order
-// of moves is thus a set of trails of vacancies along all moves backwards, each move once. Moves that are connected
-// by their slots have such trails if some slot has a vacancy: the slots that have one less in the end than before
-// begin one for each, or else it is one round trip from any vacancy (Euler's condition). Where all slots are full
-// and stay so, the moves need a detour.
+// A vacancy is free capacity for one range. A move from slot a to slot b fills a vacancy at b and creates one at a, so
+// that the vacancy moves from b to a. Take the slots as nodes and each move as an edge from its target back to its
+// source: an order of the moves is then a set of trails of vacancies in which each edge occurs once. By Euler's
+// condition, a connected component has such trails if one of its slots has a vacancy: as many trails start at a slot as
+// it has more ranges in the end than before; if there is no such slot, the trail is one circuit that starts at any
+// vacancy. If all slots of a component are full, it needs a detour by a member outside it.
 
-// components divides moves into those that are connected by their slots (union-find).
+// components divides moves into connected components: moves that share a slot are in the same one (union-find).
 func (s *sequencer) components(moves []int) [][]int {
 	parent := make([]int, len(s.slotIDs))
 	for i := range parent {
@@ -41,15 +42,16 @@
 	return components
 }
 
-// isFull reports whether connected moves have no vacancy at their slots, now nor by themselves.
+// isFull reports whether no slot of a component has a vacancy, so that none of its moves can be the first. free is the
+// free capacity by slot.
 func (s *sequencer) isFull(component []int, free []int) bool {
 	return !slices.ContainsFunc(component, func(k int) bool {
 		return free[s.moves[k].from] > 0 || free[s.moves[k].to] > 0
 	})
 }
 
-// orderByTrails orders moves that no rule makes wait, of members that don't exceed their capacity. It is exact: where
-// it finds no order, there is none.
+// orderByTrails finds an order of the moves if no precedence makes a move wait and no member exceeds its capacity. It
+// is exact: if it finds no order, there is none.
 func (s *sequencer) orderByTrails() error {
 	moves := make([]int, len(s.moves))
 	for k := range moves {
@@ -63,7 +65,7 @@
 		}
 		s.sequence = append(s.sequence, s.trails(component, s.trailStarts(component))...)
 	}
-	for len(full) > 0 { // a range on its detour may leave a vacancy for the next component's
+	for len(full) > 0 { // a component that is done may leave a vacancy for the detour of another
 		remaining := slices.DeleteFunc(slices.Clone(full), s.orderByDetour)
 		if len(remaining) == len(full) {
 			return s.lockedError(full[0])
@@ -73,9 +75,9 @@
 	return nil
 }
 
-// trailStarts returns the slots where trails begin, once for each trail.
+// trailStarts returns the slots where trails start, a slot once for each trail that starts there.
 func (s *sequencer) trailStarts(component []int) (starts []int) {
-	gain := map[int]int{} // by slot, ranges that it has more in the end
+	gain := map[int]int{} // by slot, how many more ranges it has in the end than before
 	for _, k := range component {
 		gain[s.moves[k].to]++
 		gain[s.moves[k].from]--
@@ -87,14 +89,15 @@
 		}
 	}
 	if starts == nil {
-		freest := slices.MaxFunc(slots, func(a, b int) int { return cmp.Compare(s.free[a], s.free[b]) })
-		starts = []int{freest}
+		mostFree := slices.MaxFunc(slots, func(a, b int) int { return cmp.Compare(s.free[a], s.free[b]) })
+		starts = []int{mostFree}
 	}
 	return starts
 }
 
-// The trails are one round trip by a root node, which is no slot: from the root to each start, and from each end to
-// the root. Edges are indexes of moves, or one of these.
+// The trails are found as one Euler circuit by way of an additional root node, with an edge from the root to the start
+// of each trail and an edge from the end of each trail to the root. An edge is the index of a move, toRootEdge, or a
+// startEdge.
 const (
 	rootNode   = -1
 	toRootEdge = -1
@@ -105,20 +108,20 @@
 func isMoveEdge(edge int) bool   { return edge >= 0 }
 func isToRootEdge(edge int) bool { return edge == toRootEdge }
 
-// trails returns all moves of a component in an order in which vacancies move along them from the given slots.
+// trails returns all moves of a component in an order in which vacancies that start at the given slots move along them.
 func (s *sequencer) trails(component, starts []int) []int {
 	edges := s.trailEdges(component, starts)
-	// Hierholzer's algorithm finds the round trip from its end.
+	// Hierholzer's algorithm finds the circuit in reverse.
 	type visit struct{ node, edge int }
 	stack := []visit{{rootNode, toRootEdge}}
-	trip := []int{}
+	circuit := []int{}
 	for len(stack) > 0 {
 		v := stack[len(stack)-1]
 		n := len(edges[v.node])
 		if n == 0 {
 			stack = stack[:len(stack)-1]
 			if isMoveEdge(v.edge) {
-				trip = append(trip, v.edge)
+				circuit = append(circuit, v.edge)
 			}
 			continue
 		}
@@ -133,14 +136,14 @@
 			stack = append(stack, visit{slotOfStartEdge(edge), toRootEdge})
 		}
 	}
-	slices.Reverse(trip)
-	return trip
+	slices.Reverse(circuit)
+	return circuit
 }
 
-// trailEdges returns by node the edges that a vacancy there may go along.
+// trailEdges returns, by node, the edges that leave it.
 func (s *sequencer) trailEdges(component, starts []int) map[int][]int {
 	edges := map[int][]int{}
-	surplus := map[int]int{} // by slot, edges that enter it over those that leave it
+	surplus := map[int]int{} // by slot, the number of edges that enter it minus those that leave it
 	for _, k := range component {
 		v := s.moves[k]
 		edges[v.to] = append(edges[v.to], k)
@@ -159,8 +162,9 @@
 	return edges
 }
 
-// orderByDetour orders a full component by way of a vacancy elsewhere: the range of the fewest keys that may go to
-// one goes there first, and on to its target last. It returns false if there is none.
+// orderByDetour orders a full component with a detour by a member that has a vacancy: of the ranges that may be there
+// temporarily, the one with the fewest keys moves there first, and to its target last. It returns false if there is no
+// such member for any range.
 func (s *sequencer) orderByDetour(component []int) bool {
 	component = slices.Clone(component)
 	slices.SortStableFunc(component, func(a, b int) int {
@@ -188,7 +192,8 @@
 	return false
 }
 
-// earliestDetour returns the member that has a vacancy for a detour of a move first, or none.
+// earliestDetour returns the member that allows the detour of a move and is the first to have a vacancy in the
+// sequence, or noMember.
 func (s *sequencer) earliestDetour(v move, freeAfter []int) int {
 	best := noMember
 	for m := range s.members {
@@ -202,9 +207,10 @@
 	return best
 }
 
+// neverFree is the result of freeAfter for a slot that has no vacancy at any point of the sequence.
 const neverFree = -1
 
-// freeAfter returns by slot how many moves of the sequence have to be done until it has a vacancy, or neverFree.
+// freeAfter returns, by slot, the number of moves of the sequence after which it first has a vacancy, or neverFree.
 func (s *sequencer) freeAfter() []int {
 	after, free := make([]int, len(s.slotIDs)), slices.Clone(s.free)
 	for slot := range after {
--- a/cluster/rebalance/impact.go
+++ b/cluster/rebalance/impact.go
@@ -151,8 +151,8 @@
 	return ""
 }
 
-// exceeded returns by how much a share exceeds the baseline plus the limit, or "". A share counts once there are so many
-// webhooks that a single one is within the limit: one rejected of three is no evidence against a limit of 2 %.
+// exceeded returns by how much a share exceeds the baseline plus the limit, or "". A share counts once there are so
+// many webhooks that a single one is within the limit: one rejected of three is no evidence against a limit of 2 %.
 func (m stopMeasure) exceeded(impact Impact, line int) string {
 	total := impact.During.Total
 	isTooFew := total == 0 || m.limit > 0 && float64(total)*m.limit < 1
--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -11,8 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves whose begin it observed. It has no
-// clock: its callers pass the time. It is not safe for concurrent use.
+// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves whose begin it observed. It
+// has no clock: its callers pass the time. It is not safe for concurrent use.
 type ImpactMeter struct {
 	incarnation  uint64     // of the process
 	windowLength api.Micros // a baseline is of the last one to two windows
--- a/cluster/rebalance/impactmeter_test.go
+++ b/cluster/rebalance/impactmeter_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// No member is polled before a move has started, once all steps are done, once the plan is stopped, or if the file has no
-// stop conditions.
+// No member is polled before a move has started, once all steps are done, once the plan is stopped, or if the file has
+// no stop conditions.
 func TestMonitoredMoves_EmptyUnlessPlanRuns(t *testing.T) {
 	sim, _, _ := newMonitoredSimulation(t)
 	assert.Len(t, sim.progress.MonitoredMoves(sim.file, sim.shards), 2)
--- a/cluster/rebalance/placement_test.go
+++ b/cluster/rebalance/placement_test.go
@@ -101,8 +101,8 @@
 	return sum
 }
 
-// The chosen placement is as near to the members' quotas as any that the rules allow, with as few keys moved as any that
-// is so near; there is an error if and only if the rules allow none.
+// The chosen placement is as near to the members' quotas as any that the rules allow, with as few keys moved as any
+// that is so near; there is an error if and only if the rules allow none.
 func TestChoosePlacement_IsOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 4).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "ranges")
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -12,7 +12,7 @@
 	"rowanlink/internal/strictcbor"
 )
 
-// codec encodes and decodes commands and the state of the running plan.
+// codec encodes and decodes commands and the state of the running plan. It rejects unknown fields.
 var codec = strictcbor.New(strictcbor.Options{RejectUnknownFields: true})
 
 // StepState is the progress of a step. The values are stored in the raft log.
@@ -22,21 +22,21 @@
 const (
 	Pending    StepState = iota
 	Started              // its move is in the map of ranges
-	Done                 // the range is where the step takes it, and both sides have cleared
+	Done                 // the range is at the step's target and both sides have cleared the move
 	RolledBack           // its move was rolled back; it may start again
 )
 
-// Progress is the replicated state of the running plan, from which any coordinator can resume. It is a state machine of
-// the raft log (a cluster.Component). A later plan replaces it: its steps are made from the map, so that ranges that have
-// switched stay where they are.
+// Progress is the replicated state of the running plan, from which any coordinator can resume it. It is a state machine
+// of the raft log (a cluster.Component). Adopting a new plan replaces it as a whole: the new plan's steps start from
+// the current map, in which ranges that have switched are at their targets.
 type Progress struct {
-	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: there was none yet
+	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: no plan was adopted yet
 	Name       string          `cbor:"2,keyasint"` // names the file in errors
 	Text       []byte          `cbor:"3,keyasint"` // of the file
 	Version    cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
 	Steps      []Step          `cbor:"5,keyasint"`
 	States     []StepState     `cbor:"6,keyasint"` // by step
-	StopReason string          `cbor:"7,keyasint"` // not empty: the plan was stopped, and nothing starts any more
+	StopReason string          `cbor:"7,keyasint"` // not empty: the plan was stopped, and no step starts any more
 }
 
 // operation is the kind of a command. The values are stored in the raft log.
@@ -58,13 +58,14 @@
 	Reason    string          `cbor:"7,keyasint,omitempty"`
 }
 
-// Coordinator returns the commands on the plan, under its epoch of the resource cluster.CoordinatorResource.
+// Coordinator makes the plan's commands. Its value is the coordinator's epoch of the lease on
+// cluster.CoordinatorResource, which fences the commands.
 type Coordinator cluster.Epoch
 
 func (e Coordinator) newCommand(c command) cluster.Command {
 	body, err := codec.Marshal(c)
 	if err != nil {
-		panic(err) // nothing in a command can fail to encode
+		panic(err) // can't happen: every field of a command can be encoded
 	}
 	return cluster.Command{
 		Component: cluster.RebalanceComponent,
@@ -74,14 +75,14 @@
 	}
 }
 
-// Adopt makes a plan the running one. current is the number of the running plan as the coordinator knows it: if another
-// was adopted since, Apply returns cluster.ErrStale.
+// Adopt returns the command that makes a plan the running one. current is the number of the running plan as far as the
+// coordinator knows: if another plan was adopted since, Apply returns cluster.ErrStale.
 func (e Coordinator) Adopt(current uint64, name string, text []byte, p *Plan) cluster.Command {
 	next := &Progress{Number: current + 1, Name: name, Text: text, Version: p.Version, Steps: p.Steps}
 	return e.newCommand(command{Operation: operationAdopt, Number: current + 1, Plan: next})
 }
 
-// RecordState records the state of a step, as returned by Schedule.
+// RecordState returns the command that records the state of a step, for an ActionRecordState of Schedule.
 func (e Coordinator) RecordState(number uint64, step int, state StepState, move shardmap.MoveID) cluster.Command {
 	return e.newCommand(command{
 		Operation: operationRecordState,
@@ -92,13 +93,15 @@
 	})
 }
 
-// Stop stops a plan: moves that haven't switched are rolled back, and nothing starts until a later plan is adopted.
+// Stop returns the command that stops a plan: moves that haven't switched are rolled back, and no step starts until a
+// new plan is adopted.
 func (e Coordinator) Stop(number uint64, reason string) cluster.Command {
 	return e.newCommand(command{Operation: operationStop, Number: number, Reason: reason})
 }
 
-// Apply applies a command of the raft log. A command that it rejects has changed nothing: cluster.ErrStale if it is
-// about another plan than the running one, or the step has advanced; cluster.ErrNotFound if there is no such step.
+// Apply applies a command of the raft log. A command that it rejects changes nothing. The error is cluster.ErrStale if
+// the command is for another plan than the running one or the step's state doesn't allow the change any more, and
+// cluster.ErrNotFound if there is no such step.
 func (p *Progress) Apply(_ uint64, body []byte) ([]byte, error) {
 	var c command
 	if err := codec.Unmarshal(body, &c); err != nil {
@@ -154,7 +157,8 @@
 	return nil
 }
 
-// initialStates returns the states of a new plan's steps: the moves in flight before it have started.
+// initialStates returns the states of a new plan's steps: Started for moves that were in flight before the plan, else
+// Pending.
 func initialStates(steps []Step) []StepState {
 	states := make([]StepState, len(steps))
 	for k, s := range steps {
@@ -165,10 +169,10 @@
 	return states
 }
 
-// validate rejects a plan that no planner made. Its readers rely on each of these conditions.
+// validate rejects steps and states that no planner produces. The scheduler and File rely on each of these conditions.
 func (p *Progress) validate() error {
 	if len(p.States) != len(p.Steps) || len(p.Text) > planfile.MaxBytes {
-		return fmt.Errorf("plan: %d steps, %d states, %d bytes", len(p.Steps), len(p.States), len(p.Text))
+		return fmt.Errorf("plan: invalid sizes: %d steps, %d states, %d bytes of text", len(p.Steps), len(p.States), len(p.Text))
 	}
 	for k, s := range p.Steps {
 		if !s.isValid(k) || p.States[k] > RolledBack {
@@ -183,7 +187,7 @@
 		return false
 	}
 	isLater := func(d Dependency) bool { return d.Step < 0 || d.Step >= index }
-	isNoRule := func(r int) bool { return r < 0 || r > planfile.MaxBytes } // a file has fewer rules than bytes
+	isNoRule := func(r int) bool { return r < 0 || r > planfile.MaxBytes } // a file can't have more rules than bytes
 	return !slices.ContainsFunc(s.DependsOn, isLater) &&
 		!slices.ContainsFunc(s.Rules, isNoRule) &&
 		!slices.ContainsFunc(s.AfterRules, isNoRule)
--- a/cluster/rebalance/reconcile.go
+++ b/cluster/rebalance/reconcile.go
@@ -6,8 +6,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// reconcileSteps reconciles the states of all steps with the map. It returns why the steps can't continue from the
-// present owners of the ranges, or "".
+// reconcileSteps updates the states of all steps from the map. If the ranges are not where the steps expect them, so
+// that the plan has to be computed again, it returns the first reason; else "".
 func (s *scheduler) reconcileSteps() (replanReason string) {
 	for step := range s.Steps {
 		reason := s.reconcile(step)
@@ -24,7 +24,7 @@
 	case s.states[step] == Done:
 		return ""
 	case v.Range == 0:
-		if !s.leftMoves[v.Move] {
+		if !s.detached[v.Move] {
 			s.setState(step, Done, v.Move)
 		}
 		return ""
@@ -39,13 +39,14 @@
 		return fmt.Sprintf("range %d was split or merged", v.Range)
 	case s.states[step] == Started:
 		return s.reconcileStarted(step, r)
-	case s.dependsOnOpen(v, SameRange): // until then the range may be where an earlier step has it
+	case s.dependsOnOpen(v, SameRange): // until that step is done, the range isn't at this one's source
 		return ""
 	}
 	return s.reconcilePending(step, r)
 }
 
-// reconcileStarted handles a step whose move has begun: its end, and its rollback if it can't or shall not continue.
+// reconcileStarted handles a step whose move has begun. It rolls the move back if the plan says so or the target is
+// gone, and records how the move ended once it has.
 func (s *scheduler) reconcileStarted(step int, r *shardmap.Range) (replanReason string) {
 	v := s.Steps[step]
 	isRollBack := v.Kind == StepRollBack
@@ -55,7 +56,7 @@
 		}
 		s.wanted[v.Move] = true
 		if isRollBack {
-			s.rollBack(step, r, "the plan wants it elsewhere")
+			s.rollBack(step, r, "the plan places the range elsewhere")
 		} else if s.isGone(v.To) && r.Move.Step < shardmap.StepSwitched {
 			s.rollBack(step, r, fmt.Sprintf("%q has no session", v.To))
 		}
@@ -72,7 +73,8 @@
 	return ""
 }
 
-// reconcilePending handles a step that may have started or ended without its state being recorded.
+// reconcilePending handles a step that is recorded as not started. It may have started or ended in the meantime, since
+// the map and the state of a step change by separate commands.
 func (s *scheduler) reconcilePending(step int, r *shardmap.Range) (replanReason string) {
 	v := s.Steps[step]
 	isItsMove := r.Move.IsOpen() && r.Move.From == v.From && r.Move.To == v.To
@@ -92,7 +94,7 @@
 	return fmt.Sprintf("step %d: range %d is on %q", step+1, r.ID, r.Owner)
 }
 
-// reconcileReshape reconciles the state of a split or a merge with the map.
+// reconcileReshape updates the state of a split or a merge from the map.
 func (s *scheduler) reconcileReshape(step int) (replanReason string) {
 	v := s.Steps[step]
 	r, other := s.ranges[v.Range], s.ranges[v.OtherRange]
@@ -114,7 +116,7 @@
 	return ""
 }
 
-// dependsOnOpen reports whether a step depends for a reason on one that isn't done.
+// dependsOnOpen reports whether a step has a dependency with this reason that isn't done.
 func (s *scheduler) dependsOnOpen(v Step, reason DependencyReason) bool {
 	for _, d := range v.DependsOn {
 		if d.Reason == reason && s.states[d.Step] != Done {
@@ -124,7 +126,7 @@
 	return false
 }
 
-// firstOpenDependency returns the first step that a step waits for, or noStep.
+// firstOpenDependency returns the first step that a step depends on and that isn't done, or noStep.
 func (s *scheduler) firstOpenDependency(v Step) int {
 	for _, d := range v.DependsOn {
 		if s.states[d.Step] != Done {
--- a/cluster/rebalance/replacement_test.go
+++ b/cluster/rebalance/replacement_test.go
@@ -13,8 +13,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Another plan may replace the running one at any moment, and coordinators change. Ranges that have switched stay, moves
-// to where the new plan wants them go on, the others are rolled back; capacities and limits hold all the while.
+// Another plan may replace the running one at any moment, and coordinators change. Ranges that have switched stay,
+// moves to where the new plan wants them go on, the others are rolled back; capacities and limits hold all the while.
 func TestSchedule_AnotherPlanTakesOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPinnedCluster(t, false)
--- a/cluster/rebalance/scheduler.go
+++ b/cluster/rebalance/scheduler.go
@@ -9,12 +9,12 @@
 	"rowanlink/webhook/api"
 )
 
-// Observations is what a coordinator knows that is not in the raft log.
+// Observations is the coordinator's input to Schedule that is not in the raft log.
 type Observations struct {
-	IsGone        func(cluster.MemberID) bool   // the member has no session; nil: none is gone
-	RangeValue    func(cluster.RangeID) float64 // value of what is delivered in a range; nil: 0
+	IsGone        func(cluster.MemberID) bool   // whether a member has no session; nil: all members have one
+	RangeValue    func(cluster.RangeID) float64 // value of the webhooks delivered in a range; nil: 0
 	Impact        Impact
-	SinceLastMove api.Micros // since a move ended, or since the coordinator became one
+	SinceLastMove api.Micros // since the last move ended or, if later, this member became coordinator
 }
 
 // ActionKind is the kind of an Action.
@@ -26,16 +26,16 @@
 	ActionRollBack                          // shardmap.Coordinator.RevertMove(Move)
 	ActionRecordState                       // Coordinator.RecordState(number, Step, State, Move)
 	ActionStop                              // Coordinator.Stop(number, Reason)
-	ActionReplan                            // NewPlan by the same file and the current map, then Coordinator.Adopt
+	ActionReplan                            // NewPlan with the same file and the current map, then Coordinator.Adopt
 	ActionSplit                             // shardmap.Coordinator.Split(Range, SplitKey)
 	ActionMerge                             // shardmap.Coordinator.Merge(Range, OtherRange)
 )
 
-// Action is one action that the coordinator has to take. If the raft log rejects it, Schedule returns it again as long as
-// it is due.
+// Action is one action that the coordinator has to take. If its command is rejected, Schedule returns it again as long
+// as it is due.
 type Action struct {
 	Kind       ActionKind
-	Step       int // index; noStep: it is about no step
+	Step       int // index; noStep: the action belongs to no step
 	Range      cluster.RangeID
 	From, To   cluster.MemberID
 	Move       shardmap.MoveID
@@ -45,15 +45,16 @@
 	OtherRange cluster.RangeID // of ActionMerge
 }
 
+// noStep stands for "no step" where the index of a step is optional.
 const noStep = -1
 
-// BlockedStep is a step that has not started, and the reason.
+// BlockedStep is a step that can't start yet, and the reason.
 type BlockedStep struct {
 	Step   int
 	Reason string
 }
 
-// Decisions is the result of Schedule.
+// Decisions is the result of Schedule: what the coordinator has to do now, and what can't be done yet.
 type Decisions struct {
 	Actions  []Action
 	Blocked  []BlockedStep
@@ -67,15 +68,15 @@
 	observations Observations
 	decisions    Decisions
 
-	states     []StepState // by step, by the map: recorded yet or not
+	states     []StepState // by step, as the map shows it, whether recorded or not
 	ranges     map[cluster.RangeID]*shardmap.Range
-	isBase     map[cluster.RangeID]bool // ranges that use their member's capacity
-	leftMoves  map[shardmap.MoveID]bool // moves whose owner was lost, to be cleared
-	wanted     map[shardmap.MoveID]bool // moves that a step wants
+	isBase     map[cluster.RangeID]bool // whether a range uses capacity of its member (it was not split off)
+	detached   map[shardmap.MoveID]bool // the map's detached moves, which have to be cleared
+	wanted     map[shardmap.MoveID]bool // open moves that belong to a step of the plan
 	rolledBack map[shardmap.MoveID]bool // moves with an ActionRollBack
 
 	members   map[cluster.MemberID]*planfile.Member
-	owned     map[cluster.MemberID]int // ranges that use capacity, also of moves in flight on both sides
+	owned     map[cluster.MemberID]int // ranges that use its capacity; a range that moves uses that of both sides
 	remaining []int                    // by rule, steps that aren't done
 	inFlight  inFlight
 }
@@ -114,7 +115,7 @@
 		states:       slices.Clone(p.States),
 		ranges:       map[cluster.RangeID]*shardmap.Range{},
 		isBase:       map[cluster.RangeID]bool{},
-		leftMoves:    map[shardmap.MoveID]bool{},
+		detached:     map[shardmap.MoveID]bool{},
 		wanted:       map[shardmap.MoveID]bool{},
 		rolledBack:   map[shardmap.MoveID]bool{},
 		members:      map[cluster.MemberID]*planfile.Member{},
@@ -130,8 +131,8 @@
 		s.ranges[r.ID] = r
 		s.isBase[r.ID] = base == i
 	}
-	for _, left := range m.DetachedMoves {
-		s.leftMoves[left.ID] = true
+	for _, move := range m.DetachedMoves {
+		s.detached[move.ID] = true
 	}
 	return s
 }
@@ -142,7 +143,7 @@
 	s.decisions.Blocked = append(s.decisions.Blocked, BlockedStep{Step: step, Reason: reason})
 }
 
-// setState sets a step's state and adds the action that records it, if it isn't recorded.
+// setState sets a step's state and, if the raft log doesn't have that state yet, adds the action that records it.
 func (s *scheduler) setState(step int, state StepState, move shardmap.MoveID) {
 	s.states[step] = state
 	if s.States[step] == state {
@@ -185,12 +186,12 @@
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
 		if canRollBack(r.Move) && !s.wanted[r.Move.ID] {
-			s.rollBack(noStep, r, "no step of the plan wants it")
+			s.rollBack(noStep, r, "the move belongs to no step of the plan")
 		}
 	}
 }
 
-// rollBackAll rolls back all moves that haven't switched, and starts none.
+// rollBackAll rolls back all moves of the plan that haven't switched, and blocks the steps that haven't started.
 func (s *scheduler) rollBackAll(m *shardmap.Map, reason string) {
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -9,31 +9,33 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// move is a move that becomes a step. from and to are slots of the sequencer.
+// move is the move of a range from one slot of the sequencer to another. Each move becomes a step.
 type move struct {
-	rangeIndex int // noRange: its owner was lost
+	rangeIndex int // noRange: a detached move
 	from, to   int
 	kind       StepKind
-	id         shardmap.MoveID // of a move in flight
+	id         shardmap.MoveID // set for a move in flight
 	rules      []int
-	isForced   bool // a rule wants it, rather than balance
+	isForced   bool // the rules don't allow the range on its owner; else it moves for balance
 }
 
+// noRange is the rangeIndex of a detached move, whose range failed over while it was in flight.
 const noRange = -1
 
-// sequencer searches for an order of the moves in which no member exceeds its capacity. A slot is a member as far as
-// its capacity is used; split-off ranges use none, so that they have slots of their own for their members. The slots
-// of the file's members come first, in the file's order.
+// sequencer searches for an order of the moves in which no member exceeds its capacity. A slot is a place with its own
+// capacity. Each member has a slot with the member's capacity and, since split-off ranges use no capacity, an unlimited
+// slot for these if it needs one. The capacity slots of the file's members come first, in the file's order, so that
+// such a member's index is also its slot.
 type sequencer struct {
 	*problem
-	target  []int              // by range, its member
-	slotIDs []cluster.MemberID // by slot; also of members that the file doesn't have
+	target  []int              // by range, the member where it is placed
+	slotIDs []cluster.MemberID // by slot, its member, which may not be in the file
 
-	inFlight []move // moves that have begun: they end by themselves
+	inFlight []move // moves that have begun; they need no order
 	moves    []move // moves to order
 	sequence []int  // the order found: indexes of moves
 
-	// Free capacity by slot, below 0 for a member above its capacity: now, and once the moves in flight are done.
+	// Free capacity by slot, now and once the moves in flight are done. It is below 0 for a member above its capacity.
 	freeNow, free []int
 
 	precedingByRule [][]int // by rule, all rules that precede it
@@ -72,13 +74,13 @@
 			isForced:   p.isForcedAway(i, ownerMember),
 		})
 	}
-	for _, left := range m.DetachedMoves {
+	for _, detached := range m.DetachedMoves {
 		s.inFlight = append(s.inFlight, move{
 			rangeIndex: noRange,
-			from:       s.slot(left.From, capacitySlots),
-			to:         s.slot(left.To, capacitySlots),
+			from:       s.slot(detached.From, capacitySlots),
+			to:         s.slot(detached.To, capacitySlots),
 			kind:       StepContinue,
-			id:         left.ID,
+			id:         detached.ID,
 		})
 	}
 	s.freeNow = slices.Clone(s.free)
@@ -88,7 +90,7 @@
 	return s
 }
 
-// slot returns the slot of a member, which it adds if it is new.
+// slot returns the slot of a member in slots. It adds the slot if it is new.
 func (s *sequencer) slot(id cluster.MemberID, slots map[cluster.MemberID]int) int {
 	if k, isKnown := slots[id]; isKnown {
 		return k
@@ -104,7 +106,8 @@
 	return k
 }
 
-// addInFlight adds a move that has begun. One that can be rolled back is, unless it goes to the range's target.
+// addInFlight adds a move that has begun. A move that can still be rolled back is rolled back unless it goes to the
+// range's target; any other continues.
 func (s *sequencer) addInFlight(i int, v shardmap.Move, from, to int) {
 	kind, rules := StepContinue, s.moveRules(i, s.memberOrUnknown(v.From))
 	if canRollBack(v) {
@@ -125,7 +128,7 @@
 	})
 }
 
-// memberOrUnknown returns a member's index, or one that no member of the file has.
+// memberOrUnknown returns the index of a member, or len(s.members) if the file doesn't have it.
 func (s *sequencer) memberOrUnknown(id cluster.MemberID) int {
 	if k, ok := s.memberIndex[id]; ok {
 		return k
@@ -133,7 +136,8 @@
 	return len(s.members)
 }
 
-// freedSlot returns the slot whose capacity a move in flight uses until it is done.
+// freedSlot returns the slot where a move in flight uses capacity until it is done, besides the slot where the range
+// will be.
 func (v move) freedSlot() int {
 	if v.kind == StepRollBack {
 		return v.to
@@ -141,8 +145,8 @@
 	return v.from
 }
 
-// run finds an order of the moves. Where no rule makes moves wait and no member exceeds its capacity, the trails of
-// free capacity are exact and fast; else it takes a search.
+// run finds an order of the moves. If no precedence makes a move wait and no member exceeds its capacity, orderByTrails
+// solves this exactly and fast; else it takes a search.
 func (s *sequencer) run() error {
 	for k := range s.file.Rules {
 		s.precedingByRule = append(s.precedingByRule, s.precedingRules(k))
@@ -161,7 +165,7 @@
 	return s.orderByTrails()
 }
 
-// remainingByRule counts the moves by each rule.
+// remainingByRule returns, by rule, the number of moves that count for it.
 func (s *sequencer) remainingByRule() []int {
 	remaining := make([]int, len(s.file.Rules))
 	for _, v := range s.moves {
@@ -172,7 +176,8 @@
 	return remaining
 }
 
-// isDue reports whether no move by a preceding rule remains before a move.
+// isDue reports whether a move may start as far as precedences are concerned: no move by a rule that precedes its rules
+// remains.
 func (s *sequencer) isDue(move int, remaining []int) bool {
 	for _, r := range s.moves[move].rules {
 		for _, preceding := range s.precedingByRule[r] {
@@ -184,7 +189,7 @@
 	return true
 }
 
-// blockingPrecedence returns the precedence that a move waits for, if it waits for one.
+// blockingPrecedence returns the precedence that makes a move wait, or the zero value if none does.
 func (s *sequencer) blockingPrecedence(move int, remaining []int) planfile.Precedence {
 	for _, r := range s.moves[move].rules {
 		for _, p := range s.file.Precedences {
@@ -197,7 +202,8 @@
 	return planfile.Precedence{}
 }
 
-// checkDeadlock rejects precedences by which moves that are under several rules wait for one another.
+// checkDeadlock rejects precedences that make moves wait for one another. That is possible without a cycle of
+// precedences where several rules apply to one range.
 func (s *sequencer) checkDeadlock() error {
 	remaining, isDone := s.remainingByRule(), make([]bool, len(s.moves))
 	for hasChanged := true; hasChanged; {
@@ -227,7 +233,7 @@
 	return s.file.Errorf(line, "deadlock, these moves wait for one another: %s", planfile.JoinSome(waiting))
 }
 
-// lockedError is the error for members at capacity that can't exchange ranges.
+// lockedError returns the error for members at capacity that can't exchange ranges by the given moves.
 func (s *sequencer) lockedError(moves []int) error {
 	var members, ranges []string
 	line := 0
@@ -245,8 +251,8 @@
 		ranges = append(ranges, s.describeRange(v.rangeIndex))
 	}
 	return s.file.Errorf(line,
-		"%s are at capacity and shall exchange %s, and no other member may have one of these meanwhile: "+
-			"each is at capacity, leaves, is dedicated, or excluded by the range's zone or rules",
+		"%s are at capacity and shall exchange %s, and no other member can hold one of these in the meantime: "+
+			"each is at capacity, leaves, is dedicated, or is excluded by the range's zone or rules",
 		planfile.JoinSome(members), planfile.JoinSome(ranges))
 }
 
@@ -257,7 +263,9 @@
 	return fmt.Sprintf("line %d, room = %d", s.members[slot].Line, s.members[slot].Capacity)
 }
 
-// allowsDetour reports whether a range may be on a member for a while: all its rules hold there, but for its pin.
+// allowsDetour reports whether a range may be on a member temporarily: the member is neither drained nor dedicated, and
+// the range's zone affinity and anti-affinity are satisfied there. A pin is ignored, since it states the final member.
+// Split-off ranges make no detours, as they need no capacity.
 func (s *sequencer) allowsDetour(v move, member int) bool {
 	c := s.constraints[v.rangeIndex]
 	switch {
@@ -282,7 +290,7 @@
 	return true
 }
 
-// isSameDomain reports whether two members are in one domain of an anti-affinity rule. The first may be none.
+// isSameDomain reports whether two members are in one domain of an anti-affinity rule. The first may be noMember.
 func (s *sequencer) isSameDomain(rule *planfile.Rule, a, b int) bool {
 	return a >= 0 && (a == b || rule.ByZone && s.members[a].Zone == s.members[b].Zone)
 }
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -11,34 +11,35 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// maxSearchStates bounds the search for an order. Small clusters have fewer states in all, so that the search is exact
-// there.
+// maxSearchStates bounds the states that the search for an order visits. Small clusters have fewer states in total, so
+// that the search is exact for them.
 const maxSearchStates = 20_000
 
-// sequenceSearch looks for an order where rules make moves wait, or members exceed their capacity at first: depth
-// first, without branches that have no order even without rules, and without states that were dead ends before. The
-// number of detours grows until an order is found.
+// sequenceSearch is a depth-first search for an order of the moves, for plans where precedences make moves wait or
+// members exceed their capacity at first. It prunes paths that would need more detours even without precedences, and
+// states known as dead ends. The number of detours allowed starts at 0 and grows until an order is found.
 type sequenceSearch struct {
 	*sequencer
-	byUrgency []int // moves
+	byUrgency []int // moves, sorted by urgency
 	isDone    []bool
-	detour    []int // by move, the member where its range is on a detour; none: it is on none
-	remaining []int // moves by rule
-	free      []int // by slot
+	detour    []int // by move, the member where its range is on a detour, or noMember
+	remaining []int // by rule, moves that aren't done
+	free      []int // by slot, its free capacity
 
 	path        []transition
 	detoursLeft int
 	states      int // visited so far
 	deadEnds    map[uint64]bool
-	furthest    []transition // the longest path that was a dead end
+	furthest    []transition // the longest path that ended in a dead end
 }
 
-// transition is one step of the search: a move goes to its target, or to a member on a detour.
+// transition is one step of the search: a range moves to its target, or to another member on a detour.
 type transition struct {
 	move   int
-	detour int // none: to the target
+	detour int // the other member; noMember: the range moves to its target
 }
 
+// search finds an order of the moves, with as few detours as possible.
 func (s *sequencer) search() error {
 	search := &sequenceSearch{
 		sequencer: s,
@@ -61,14 +62,16 @@
 			s.applyTransitions(search.path)
 			return nil
 		}
-		if detours > len(s.members) { // another detour could free nothing more
+		if detours > len(s.members) { // further detours can't free any more capacity
 			break
 		}
 	}
 	return search.noOrderError()
 }
 
-// urgency ranks moves by what waits for them; the least comes first.
+// urgency ranks a move; the search tries moves with a lower rank first. The ranks are, in this order, moves that
+// precedences make others wait for, moves off members above their capacity, other moves by rules, and moves for
+// balance.
 func (s *sequencer) urgency(move int) int {
 	v := s.moves[move]
 	isAwaited := slices.ContainsFunc(s.file.Precedences, func(p planfile.Precedence) bool {
@@ -85,7 +88,8 @@
 	return 3
 }
 
-// visit extends the path to an order of all moves, and returns false if that is impossible from here.
+// visit extends the path to an order of all moves. It returns false if the current state is a dead end or the search
+// has reached its limit.
 func (s *sequenceSearch) visit() bool {
 	var open []int
 	for k, isDone := range s.isDone {
@@ -97,7 +101,7 @@
 		return true
 	}
 	s.states++
-	if s.states > maxSearchStates || s.isHopeless(open) {
+	if s.states > maxSearchStates || s.lacksDetours(open) {
 		return s.backtrack()
 	}
 	state := s.hashState()
@@ -111,6 +115,7 @@
 	return s.backtrack()
 }
 
+// tryMoves continues with each move to its target that can start.
 func (s *sequenceSearch) tryMoves() bool {
 	for _, k := range s.byUrgency {
 		canStart := !s.isDone[k] && s.free[s.moves[k].to] > 0 && s.isDue(k, s.remaining)
@@ -121,6 +126,7 @@
 	return false
 }
 
+// tryDetours continues with each detour that can start.
 func (s *sequenceSearch) tryDetours() bool {
 	for _, k := range s.byUrgency {
 		if s.detoursLeft == 0 || s.isDone[k] || s.detour[k] >= 0 || !s.isDue(k, s.remaining) {
@@ -135,7 +141,7 @@
 	return false
 }
 
-// backtrack leaves a dead end. The longest path is retained for the error.
+// backtrack records the path if it is the longest so far, for the error, and returns false.
 func (s *sequenceSearch) backtrack() bool {
 	if len(s.path) > len(s.furthest) {
 		s.furthest = slices.Clone(s.path)
@@ -155,6 +161,7 @@
 	return xxhash.Sum64(state)
 }
 
+// try continues the search after a transition, and reverts it if that leads to a dead end.
 func (s *sequenceSearch) try(t transition) bool {
 	s.apply(t)
 	s.path = append(s.path, t)
@@ -166,6 +173,7 @@
 	return false
 }
 
+// apply updates the state by a transition.
 func (s *sequenceSearch) apply(t transition) {
 	from, to := s.slots(t)
 	if t.detour != noMember {
@@ -197,7 +205,7 @@
 	s.free[to]++
 }
 
-// slots returns the slots that a transition frees and uses, by the state before it.
+// slots returns the slots between which a transition moves the range, given the state before the transition.
 func (s *sequenceSearch) slots(t transition) (from, to int) {
 	v := s.moves[t.move]
 	if t.detour != noMember {
@@ -209,8 +217,9 @@
 	return v.from, v.to
 }
 
-// isHopeless reports whether more full components are left than detours. A range on a detour breaks up its component.
-func (s *sequenceSearch) isHopeless(open []int) bool {
+// lacksDetours reports whether the open moves need more detours than are left, since each full component needs one.
+// While a range is on a detour, this isn't known: the range has left a vacancy in its component.
+func (s *sequenceSearch) lacksDetours(open []int) bool {
 	if slices.ContainsFunc(open, func(k int) bool { return s.detour[k] >= 0 }) {
 		return false
 	}
@@ -223,7 +232,7 @@
 	return full > s.detoursLeft
 }
 
-// applyTransitions makes the path found the sequence. A move with a detour becomes two.
+// applyTransitions sets the sequence to a path of the search. A move with a detour becomes two moves.
 func (s *sequencer) applyTransitions(path []transition) {
 	secondMove := map[int]int{} // by move with a detour, the move that completes it
 	for _, t := range path {
@@ -244,7 +253,7 @@
 	}
 }
 
-// noOrderError is the error if no order was found, by the state with the most moves done.
+// noOrderError returns the error for moves without an order. It describes what blocks the longest path of the search.
 func (s *sequenceSearch) noOrderError() error {
 	s.restoreFurthest()
 	searched := ""
@@ -256,7 +265,7 @@
 		if s.isDone[k] || !s.isDue(k, s.remaining) {
 			continue
 		}
-		for _, other := range s.byUrgency { // one that would free the capacity, if it were not made to wait
+		for _, other := range s.byUrgency { // a move that would free the capacity if no precedence made it wait
 			w := s.moves[other]
 			if s.isDone[other] || w.from != v.to || s.isDue(other, s.remaining) {
 				continue
@@ -276,6 +285,7 @@
 	return nil
 }
 
+// restoreFurthest restores the state at the end of the longest path.
 func (s *sequenceSearch) restoreFurthest() {
 	for k := range s.isDone {
 		s.isDone[k], s.detour[k] = false, noMember
--- a/cluster/rebalance/startmoves.go
+++ b/cluster/rebalance/startmoves.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// inFlight is what is in flight, as the file's limits count it.
+// inFlight counts the moves in flight as the file's limits do.
 type inFlight struct {
 	moves     int
 	perMember map[cluster.MemberID]int
@@ -16,12 +16,13 @@
 	value     float64
 }
 
-// startSteps starts each step that may start, in order. Which step frees the capacity that a step uses is fixed, so a
-// step that may start never uses capacity of an earlier one. Only limits on all moves are reserved for an earlier step.
+// startSteps starts all steps that may start, in order. The plan fixes which step frees the capacity that a step uses,
+// so a step that may start never takes capacity from an earlier one that is blocked. Limits on all moves are reserved:
+// once an earlier step is blocked by one, no later step starts, so that the earlier one can't be overtaken forever.
 func (s *scheduler) startSteps(m *shardmap.Map) {
 	s.countInFlight(m)
 	s.countRemaining()
-	reservedFor := "" // the limit on all moves that an earlier step waits for
+	reservedFor := "" // the limit on all moves that blocks an earlier step
 	for step, v := range s.Steps {
 		if s.states[step] != Pending && s.states[step] != RolledBack {
 			continue
@@ -53,7 +54,7 @@
 	}
 }
 
-// startReshape splits or merges where that may be done now. It moves no keys, so that no limit applies.
+// startReshape starts a split or merge if that is possible now. As it moves no keys, no limit applies.
 func (s *scheduler) startReshape(step int) {
 	v := s.Steps[step]
 	if first := s.firstOpenDependency(v); first != noStep {
@@ -73,7 +74,8 @@
 	s.add(Action{Kind: kind, Step: step, Range: v.Range, SplitKey: v.SplitKey, OtherRange: v.OtherRange})
 }
 
-// countInFlight counts the moves of the map, and the capacity that ranges use: that of both sides while they move.
+// countInFlight counts the open moves of the map and the capacity in use. A range that moves uses capacity of its
+// source and its target.
 func (s *scheduler) countInFlight(m *shardmap.Map) {
 	for i := range m.Ranges {
 		r := &m.Ranges[i]
@@ -88,8 +90,8 @@
 			s.countOwned(r.ID, r.Move.From)
 		}
 	}
-	for _, left := range m.DetachedMoves {
-		s.owned[left.From]++
+	for _, detached := range m.DetachedMoves {
+		s.owned[detached.From]++
 	}
 }
 
@@ -114,7 +116,7 @@
 	s.inFlight.value += s.value(id)
 }
 
-// countOwned counts a range that uses capacity of a member.
+// countOwned counts a range that uses capacity of a member. Split-off ranges use none.
 func (s *scheduler) countOwned(id cluster.RangeID, m cluster.MemberID) {
 	if s.isBase[id] {
 		s.owned[m]++
@@ -157,7 +159,7 @@
 	case s.isGone(v.From):
 		return fmt.Sprintf("%s has no session", v.From)
 	case r.Move.IsOpen():
-		return fmt.Sprintf("range %d moves already", v.Range)
+		return fmt.Sprintf("range %d is already moving", v.Range)
 	case !r.IsStable():
 		return fmt.Sprintf("%s has not confirmed yet that it owns range %d", r.Owner, v.Range)
 	case target == nil:
@@ -168,6 +170,7 @@
 	return ""
 }
 
+// unmetDependency returns the first dependency of a step that isn't done, or "".
 func (s *scheduler) unmetDependency(v Step) string {
 	for _, d := range v.DependsOn {
 		if s.states[d.Step] == Done {
@@ -218,7 +221,8 @@
 	return ""
 }
 
-// exceedsValueByItself reports whether a step would exceed the limit on value even alone. It doesn't hold up others.
+// exceedsValueByItself reports whether a step would exceed the limit on value even if nothing else were in flight. Such
+// a step may stay blocked for long, so that it reserves nothing and later steps may start.
 func (s *scheduler) exceedsValueByItself(v Step) bool {
 	limit := s.file.Limits.ValueInFlight
 	return limit > 0 && s.value(v.Range) > limit
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -7,27 +7,28 @@
 	"rowanlink/cluster"
 )
 
-// stepBuilder makes the sequence found into steps that each depend on the earlier ones which free the capacity that
-// they use, so that each may start as soon as those are done, whatever the state of the others.
+// stepBuilder turns the sequence of moves into steps with dependencies. A step depends on the earlier steps that free
+// the capacity that it uses, so that it may start as soon as these are done, whatever the state of all others.
 type stepBuilder struct {
 	*sequencer
 	steps []Step
 	moves []move // by step
-	level []int  // by step, how many steps have to be done one after the other before it
+	level []int  // by step, the length of the longest chain of steps that have to be done before it
 
-	lastStep  map[int]int // by range
-	ruleLevel []int       // by rule, the level from which all its steps are done
+	lastStep  map[int]int // by range, the last step that moves it
+	ruleLevel []int       // by rule, the lowest level above those of all its steps
 
-	// By slot with limited capacity: vacancies, each with the steps that have to be done before it is free; how far
-	// the slot is above its capacity; and the steps that brought it nearer to its capacity.
+	// By slot with limited capacity: its vacancies, in the order in which they are used; the number of ranges by which
+	// the slot exceeds its capacity; and the steps that have reduced this excess.
 	vacancies [][]vacancy
 	excess    []int
 	relieving [][]int
 }
 
-// vacancy is unused capacity for one range: the steps that have to be done before it is free.
+// vacancy is unused capacity for one range, given as the steps that have to be done before it is available.
 type vacancy []int
 
+// steps returns the steps for the moves in flight and for the sequence.
 func (s *sequencer) steps() []Step {
 	b := &stepBuilder{
 		sequencer: s,
@@ -56,7 +57,8 @@
 	return slot < len(b.members) && b.members[slot].Capacity > 0
 }
 
-// release adds the vacancy that a step creates. The first ones only bring the slot down to its capacity.
+// release adds the vacancy that a step creates at a slot. While the slot exceeds its capacity, the step only reduces
+// the excess; later vacancies then depend on it too.
 func (b *stepBuilder) release(slot, step int) {
 	if !b.isLimited(slot) {
 		return
@@ -104,7 +106,7 @@
 		}
 		b.vacancies[v.to] = b.vacancies[v.to][1:]
 	}
-	b.addRules(step)
+	b.addAfterRules(step)
 	for _, d := range s.DependsOn {
 		b.level[step] = max(b.level[step], b.level[d.Step]+1)
 	}
@@ -115,8 +117,8 @@
 	b.release(v.from, step)
 }
 
-// addRules makes a step wait for the rules that precede its own.
-func (b *stepBuilder) addRules(step int) {
+// addAfterRules makes a step wait for the rules that precede its own rules.
+func (b *stepBuilder) addAfterRules(step int) {
 	s := &b.steps[step]
 	for _, r := range s.Rules {
 		for _, preceding := range b.precedingByRule[r] {
@@ -129,7 +131,8 @@
 	slices.Sort(s.AfterRules)
 }
 
-// sorted returns the steps by level, those in flight first and those that rules force first within a level.
+// sorted returns the steps sorted by level, after those in flight. Within a level, moves that rules force come before
+// moves for balance.
 func (b *stepBuilder) sorted() []Step {
 	rank := func(step int) int {
 		switch {
