--- a/cluster/rebalance/impact.go
+++ b/cluster/rebalance/impact.go
@@ -12,7 +12,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Outcomes counts webhooks by how they ended. Rejected are those that were not accepted, or were returned by notice.
+// Outcomes counts webhooks by how they ended. Rejected counts those that were not accepted, and those that were
+// accepted and later rejected by a callback to the client.
 type Outcomes struct {
 	Total        uint64 `cbor:"1,keyasint,omitempty"`
 	Rejected     uint64 `cbor:"2,keyasint,omitempty"`
@@ -29,7 +30,7 @@
 	}
 }
 
-// since returns what was counted after an earlier count.
+// since returns the outcomes counted since an earlier reading of the same counters.
 func (o Outcomes) since(earlier Outcomes) Outcomes {
 	return Outcomes{
 		Total:        o.Total - earlier.Total,
@@ -39,22 +40,22 @@
 	}
 }
 
-// Impact is what was measured in the ranges that the plan moves: since their moves began, and what was usual there
-// before.
+// Impact is the measured effect of a plan on the webhooks in the ranges that it moves: the outcomes since the moves
+// began, and the baseline before them.
 type Impact struct {
 	During, Baseline Outcomes
-	Unhealthy        []UnhealthyDestination // those that were healthy before their move
-	Ranges           []RangeImpact          // the same by range
+	Unhealthy        []UnhealthyDestination // only destinations that were healthy when the move of their range began
+	Ranges           []RangeImpact          // by move, sorted by its ID
 }
 
-// UnhealthyDestination is a destination that is unhealthy, and its range.
+// UnhealthyDestination is an unhealthy destination and the range that contains it.
 type UnhealthyDestination struct {
 	Destination api.DestinationID
 	Range       cluster.RangeID
 }
 
-// ImpactCollector adds up what members report of one plan. The last report of an incarnation of a member is retained,
-// so that no impact is forgotten because the member that measured it was killed.
+// ImpactCollector sums up the members' reports on one plan. It retains the last report of each incarnation of a member,
+// so that the impact measured by a member that was killed still counts.
 type ImpactCollector struct {
 	number  uint64 // of the plan
 	reports map[reporter]map[shardmap.MoveID]RangeImpact
@@ -66,8 +67,8 @@
 	incarnation uint64
 }
 
-// AddReport adds a member's report on the plan of a number. The first report on another plan discards those on the
-// last.
+// AddReport adds a member's report on the plan with the given number. The first report on another plan discards all
+// reports on the previous one.
 func (c *ImpactCollector) AddReport(number uint64, from cluster.MemberID, r Report) {
 	if c.number != number || c.reports == nil {
 		c.number = number
@@ -82,7 +83,7 @@
 	}
 }
 
-// Impact returns the sum of the reports on the plan of a number.
+// Impact returns the sum of the reports on the plan with the given number.
 func (c *ImpactCollector) Impact(number uint64) (sum Impact) {
 	if c.number != number {
 		return sum
@@ -103,6 +104,8 @@
 	return sum
 }
 
+// sumByMove returns the sum of the reports for each move, and the destinations that some member found unhealthy when a
+// move began.
 func (c *ImpactCollector) sumByMove() (map[shardmap.MoveID]RangeImpact, map[api.DestinationID]bool) {
 	byMove, unhealthyBefore := map[shardmap.MoveID]RangeImpact{}, map[api.DestinationID]bool{}
 	for _, impacts := range c.reports {
@@ -121,10 +124,10 @@
 	return byMove, unhealthyBefore
 }
 
-// stopMeasure is a share of webhooks that may stop a plan.
+// stopMeasure is an outcome whose share of all webhooks may stop a plan.
 type stopMeasure struct {
 	name  string
-	limit float64 // below 0: not checked
+	limit float64 // how far the share may be above the baseline; below 0: not checked
 	count func(Outcomes) uint64
 }
 
@@ -136,7 +139,8 @@
 	}
 }
 
-// degradation returns which stop condition of the file an impact meets, and the range with the most impact, or "".
+// degradation describes the first stop condition of the file that an impact meets, with the range where the impact is
+// largest. It returns "" if there is none.
 func degradation(c planfile.StopConditions, impact Impact) string {
 	for _, measure := range stopMeasures(c) {
 		if reason := measure.exceeded(impact, c.Line); reason != "" {
@@ -151,8 +155,9 @@
 	return ""
 }
 
-// exceeded returns by how much a share exceeds the baseline plus the limit, or "". A share counts once there are so
-// many webhooks that a single one is within the limit: one rejected of three is no evidence against a limit of 2 %.
+// exceeded describes how a share exceeds the baseline by more than the limit, or returns "" if it doesn't. A share is
+// checked only once there are so many webhooks that a single one is within the limit: one rejected of three is no
+// evidence against a limit of 2 %.
 func (m stopMeasure) exceeded(impact Impact, line int) string {
 	total := impact.During.Total
 	isTooFew := total == 0 || m.limit > 0 && float64(total)*m.limit < 1
--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -11,43 +11,45 @@
 	"rowanlink/webhook/api"
 )
 
-// ImpactMeter is one member's count of how webhooks ended, by destination, and the moves whose begin it observed. It
-// has no clock: its callers pass the time. It is not safe for concurrent use.
+// ImpactMeter counts the outcomes of webhooks at one member by destination, and measures the impact of a move by the
+// outcomes in its range since the move began. It has no clock: its callers pass the time. It is not safe for concurrent
+// use.
 type ImpactMeter struct {
 	incarnation  uint64     // of the process
-	windowLength api.Micros // a baseline is of the last one to two windows
+	windowLength api.Micros // a baseline covers the last one to two windows
 	windowEnd    api.Micros
 	destinations map[api.DestinationID]*destinationCount
 	moves        map[shardmap.MoveID]*moveRecord
-	hasGroups    bool // the map has, or had, groups of destinations that are hashed as one
+	hasGroups    bool // whether the map has, or had, groups of destinations that share a hash
 }
 
-// destinationCount is the outcomes of one destination since the start of the process: now, and when the last two
-// windows began.
+// destinationCount holds the outcomes of one destination, counted from the start of the process: the current counts,
+// and those when the current window and the one before it began.
 type destinationCount struct {
 	hash                                  cluster.KeyHash
 	current, windowStart, lastWindowStart Outcomes
 }
 
-// moveRecord is a move that was seen to begin.
+// moveRecord is a monitored move, with the state when its impact began to be counted.
 type moveRecord struct {
 	MonitoredMove
-	number    uint64                         // of the plan by which it was last requested; 0: none yet
-	counts    map[api.DestinationID]Outcomes // when the move began
+	number    uint64                         // of the plan that last requested it; 0: none yet
+	counts    map[api.DestinationID]Outcomes // when the count of the impact began
 	baseline  Outcomes
-	unhealthy []api.DestinationID // when the move began
-	lastSeen  api.Micros          // when it was open, or last requested
+	unhealthy []api.DestinationID // when the count of the impact began
+	lastSeen  api.Micros          // when the move was last seen open or requested
 }
 
-// MonitoredMove is a move whose impact on its range, since the move began, a coordinator requests.
+// MonitoredMove is a move whose impact on its range a coordinator requests.
 type MonitoredMove struct {
 	Move  shardmap.MoveID `cbor:"1,keyasint"`
 	Range cluster.RangeID `cbor:"2,keyasint"`
-	From  cluster.KeyHash `cbor:"3,keyasint"` // of the range
+	From  cluster.KeyHash `cbor:"3,keyasint"` // bounds of the range, inclusive
 	To    cluster.KeyHash `cbor:"4,keyasint"`
 }
 
-// RangeImpact is what one member measured in the range of a move, since the move began and in the baseline before it.
+// RangeImpact is the impact of a move on its range as one member measured it: the outcomes since the move began, and
+// the baseline before it.
 type RangeImpact struct {
 	Move            shardmap.MoveID     `cbor:"1,keyasint"`
 	Range           cluster.RangeID     `cbor:"2,keyasint"`
@@ -57,24 +59,24 @@
 	UnhealthyBefore []api.DestinationID `cbor:"6,keyasint,omitempty"` // when the move began
 }
 
-// Report is a member's answer to a coordinator.
+// Report is a member's reply to a coordinator that requests the impact of moves.
 type Report struct {
 	Incarnation uint64        `cbor:"1,keyasint"`
 	Ranges      []RangeImpact `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	// baselineTTLs is the length of a window in lease TTLs: a baseline reaches back eight to sixteen of them. That is
-	// long compared to a move, so that a few webhooks a second are enough, and short compared to the changes of load in
-	// a day. A move that no coordinator requests is forgotten after the same time.
+	// baselineTTLs is the length of a window in lease TTLs, so that a baseline reaches back eight to sixteen TTLs. That
+	// is long compared to a move, so that a few webhooks a second are enough for a baseline, and short compared to the
+	// changes of load in a day. A move that is neither open nor requested is forgotten after the same time.
 	baselineTTLs = 8
 
-	// maxMonitoredMoves bounds the moves that a coordinator requests: those that began last.
+	// maxMonitoredMoves bounds the moves that a coordinator requests. Of more moves, it requests those that began last.
 	maxMonitoredMoves = 64
 )
 
-// NewImpactMeter returns a meter that has counted nothing. The incarnation is a random number of this start of the
-// process.
+// NewImpactMeter returns a meter that has counted nothing. incarnation is a random number that identifies this run of
+// the process.
 func NewImpactMeter(incarnation uint64, leaseTTL, now api.Micros) *ImpactMeter {
 	window := baselineTTLs * leaseTTL
 	return &ImpactMeter{
@@ -96,7 +98,7 @@
 	c.current = c.current.add(o)
 }
 
-// UnhealthyFunc returns the destinations of a range that this member, as the range's owner, holds to be unhealthy now.
+// UnhealthyFunc returns the destinations of a range that are unhealthy now, as far as this member knows as its owner.
 type UnhealthyFunc func(r shardmap.Range) []api.DestinationID
 
 // UnobservedMoves returns the ranges of open moves that ObserveMap has not seen yet.
@@ -109,7 +111,8 @@
 	return ranges
 }
 
-// ObserveMap begins to monitor moves that have begun, and forgets those that ended and that no coordinator requests.
+// ObserveMap starts to monitor the moves that have begun. It forgets moves that ended and that no coordinator has
+// requested for the length of a window.
 func (i *ImpactMeter) ObserveMap(m *shardmap.Map, unhealthy UnhealthyFunc, now api.Micros) {
 	i.advanceWindow(now)
 	i.updateHashes(m)
@@ -123,6 +126,7 @@
 	})
 }
 
+// advanceWindow starts a new window if the current one is over.
 func (i *ImpactMeter) advanceWindow(now api.Micros) {
 	if now < i.windowEnd {
 		return
@@ -133,7 +137,8 @@
 	}
 }
 
-// updateHashes takes the hashes of destinations from the map, once it has any that are hashed as a group.
+// updateHashes sets the hashes of destinations by the map. This is only needed once the map has had groups of
+// destinations that share a hash.
 func (i *ImpactMeter) updateHashes(m *shardmap.Map) {
 	i.hasGroups = i.hasGroups || len(m.Groups) > 0
 	if !i.hasGroups {
@@ -144,6 +149,8 @@
 	}
 }
 
+// monitor returns the record of a move. If the move is new, its impact counts from now on, and its baseline is the
+// outcomes in its range since the window before the current one began.
 func (i *ImpactMeter) monitor(what MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
 	now api.Micros) *moveRecord {
 	move := i.moves[what.Move]
@@ -161,7 +168,7 @@
 	return move
 }
 
-// restart counts a move's impact from now on.
+// restart makes a move's impact count from now on.
 func (i *ImpactMeter) restart(move *moveRecord, r shardmap.Range, unhealthy UnhealthyFunc) {
 	move.counts, move.unhealthy = map[api.DestinationID]Outcomes{}, unhealthy(r)
 	for d, c := range i.destinations {
@@ -173,12 +180,13 @@
 
 func (m *MonitoredMove) contains(c *destinationCount) bool { return m.From <= c.hash && c.hash <= m.To }
 
-// Report answers a coordinator that runs the plan of a number. The count restarts for another plan, which is not to
-// blame for what an earlier one did; the baseline stays.
+// Report returns the impact of moves to the coordinator that runs the plan with the given number. When another plan
+// requests a move, the count of its impact restarts, so that the new plan isn't stopped for the impact of an earlier
+// one; the baseline stays.
 func (i *ImpactMeter) Report(number uint64, moves []MonitoredMove, m *shardmap.Map, unhealthy UnhealthyFunc,
 	now api.Micros) Report {
 	report := Report{Incarnation: i.incarnation}
-	for _, what := range moves[:min(len(moves), maxMonitoredMoves)] { // a message may hold any number
+	for _, what := range moves[:min(len(moves), maxMonitoredMoves)] { // a request may hold any number of moves
 		r, _ := m.RangeByID(what.Range)
 		move := i.monitor(what, r, unhealthy, now)
 		if move.number != number && move.number != 0 {
@@ -212,9 +220,9 @@
 	return i.During == (Outcomes{}) && i.Baseline == (Outcomes{}) && len(i.Unhealthy)+len(i.UnhealthyBefore) == 0
 }
 
-// MonitoredMoves returns the moves whose impact counts for the running plan: those that it has begun, also when they
-// are done, since the impact of a move shows after it. There are none once the plan is stopped or done, or if its file
-// has no stop conditions.
+// MonitoredMoves returns the moves whose impact may stop the running plan, the last begun first: all moves that it has
+// begun, including those that are done, since the impact of a move may show only after its end. There are none once the
+// plan is stopped or done, or if its file has no stop conditions.
 func (p *Progress) MonitoredMoves(f *planfile.File, m *shardmap.Map) (moves []MonitoredMove) {
 	isDone := p.DoneSteps() == len(p.Steps)
 	if isDone || p.StopReason != "" || f.StopConditions.Line == 0 {
--- a/cluster/rebalance/mincostflow/network.go
+++ b/cluster/rebalance/mincostflow/network.go
@@ -3,8 +3,8 @@
 //
 // The algorithm is that of successive shortest paths with node potentials (Edmonds and Karp 1972; Ahuja, Magnanti and
 // Orlin, "Network Flows", 1993, section 9.7, and 14.5 for convex costs), which is exact for such costs. Between two
-// searches for shortest paths, units go along all paths of that length, as in Dinic's algorithm. gonum has no such
-// search.
+// searches for shortest paths, units are sent along all paths of that length, as in Dinic's algorithm. gonum has no
+// minimum-cost flow.
 package mincostflow
 
 import (
@@ -13,7 +13,7 @@
 	"rowanlink/internal/timerqueue"
 )
 
-// Source and Sink are the nodes that each network has from the beginning.
+// Source and Sink are the nodes that every network has.
 const (
 	Source = 0
 	Sink   = 1
@@ -22,12 +22,12 @@
 // Network is a network of nodes and arcs, and the flow through it.
 type Network struct {
 	arcs     []arc
-	residual [][]residualArc // by node, those that leave it
+	residual [][]residualArc // by node, the residual arcs that leave it
 
 	potential []int64 // by node; no residual arc has a negative reduced cost
-	distance  []int64 // by node, from the source in reduced costs
-	visited   []bool  // by node, in one search for an augmenting path
-	current   []int   // by node, the residual arc that the search goes on with
+	distance  []int64 // by node, its distance from the source in reduced costs
+	visited   []bool  // by node, whether the present search for an augmenting path has visited it
+	current   []int   // by node, the index of the next residual arc to try
 }
 
 type arc struct {
@@ -35,7 +35,7 @@
 	flow     int
 	capacity int
 	flatCost int64
-	unitCost func(unit int) int64 // of units from 0 on; nil: flatCost
+	unitCost func(unit int) int64 // cost of each unit, counted from 0; nil: flatCost for each
 }
 
 // residualArc is 2*arc for the forward direction of an arc, and 2*arc+1 for the reverse one.
@@ -44,7 +44,7 @@
 func (r residualArc) arc() int         { return int(r / 2) }
 func (r residualArc) isBackward() bool { return r%2 == 1 }
 
-// New returns a network of the source and the sink.
+// New returns a network that has only the source and the sink.
 func New() *Network { return &Network{residual: make([][]residualArc, 2)} }
 
 // AddNode adds a node and returns its index.
@@ -53,13 +53,13 @@
 	return len(n.residual) - 1
 }
 
-// AddArc adds an arc whose units cost the same each, and returns its index. The cost must not be negative.
+// AddArc adds an arc whose units all have the same cost, and returns its index. The cost must not be negative.
 func (n *Network) AddArc(from, to, capacity int, cost int64) int {
 	return n.add(arc{from: int32(from), to: int32(to), capacity: capacity, flatCost: cost})
 }
 
-// AddConvexArc adds an arc whose units, counted from 0, cost what a function returns for each, and returns its index.
-// The costs must not be negative, nor fall from unit to unit.
+// AddConvexArc adds an arc with a cost for each unit, and returns its index. unitCost returns the cost of a unit,
+// counted from 0. The costs must not be negative and must not fall from unit to unit.
 func (n *Network) AddConvexArc(from, to, capacity int, unitCost func(unit int) int64) int {
 	return n.add(arc{from: int32(from), to: int32(to), capacity: capacity, unitCost: unitCost})
 }
@@ -72,7 +72,7 @@
 	return k
 }
 
-// Flow returns the units that go along an arc.
+// Flow returns the number of units that flow along an arc.
 func (n *Network) Flow(arc int) int { return n.arcs[arc].flow }
 
 // Cost returns the cost of the flow.
@@ -90,7 +90,8 @@
 	return sum
 }
 
-// follow returns where a residual arc leads, what the next unit along it costs, and whether there is capacity for one.
+// follow returns the node that a residual arc leads to, the cost of the next unit along it, and whether it has capacity
+// for one.
 func (n *Network) follow(r residualArc) (to int32, cost int64, hasCapacity bool) {
 	a := &n.arcs[r.arc()]
 	unit, sign := a.flow, int64(1)
@@ -126,8 +127,8 @@
 	return units
 }
 
-// updatePotentials makes the residual arcs of the shortest paths to the sink have a reduced cost of 0 (Dijkstra's
-// algorithm). It returns false if no path is left.
+// updatePotentials finds the shortest paths to the sink (Dijkstra's algorithm) and updates the potentials so that the
+// residual arcs on these paths have a reduced cost of 0. It returns false if there is no path.
 func (n *Network) updatePotentials() bool {
 	for i := range n.distance {
 		n.distance[i], n.current[i] = math.MaxInt64, 0
@@ -189,7 +190,8 @@
 	return 0
 }
 
-// unitsAtSameCost returns how many units can go at the next one's cost, or 1 where that is not known.
+// unitsAtSameCost returns how many units can be sent along a residual arc at the cost of the next one. For an arc with
+// a cost for each unit it returns 1.
 func (n *Network) unitsAtSameCost(r residualArc) int {
 	a := &n.arcs[r.arc()]
 	switch {
@@ -201,8 +203,8 @@
 	return a.capacity - a.flow
 }
 
-// SourceSide returns, by node, whether the source still reaches it by residual arcs: after Solve, its side of a
-// minimum cut, which limits the flow.
+// SourceSide returns, by node, whether the source reaches it along residual arcs that have capacity. After Solve, these
+// nodes are the source's side of a minimum cut.
 func (n *Network) SourceSide() []bool {
 	reached := make([]bool, len(n.residual))
 	reached[Source] = true
--- a/cluster/rebalance/planfile/convert.go
+++ b/cluster/rebalance/planfile/convert.go
@@ -51,7 +51,7 @@
 		return member, f.Errorf(line, `member ""; it needs a name`)
 	case earlier != nil:
 		return member, f.Errorf(line, "member %q is already defined in line %d", block.Name, earlier.Line)
-	case !(member.Weight >= 0 && member.Weight <= maxWeight): // so that NaN is rejected
+	case !(member.Weight >= 0 && member.Weight <= maxWeight): // written this way so that NaN is rejected
 		return member, f.Errorf(line, "weight of member %q is %g; it may be 0 to 1e6", block.Name, member.Weight)
 	case block.Room < 0:
 		return member, f.Errorf(line, "room of member %q is %d; it may be 1 or more, or 0 for no bound", block.Name,
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// addSelectingRule adds a rule that has to select ranges by destinations, hashes or both.
+// addSelectingRule adds a rule that selects ranges by destinations, hashes or both. It rejects a rule with neither.
 func (f *File) addSelectingRule(rule Rule, destinations []uint32, hashes []string) error {
 	for _, d := range destinations {
 		rule.Selector.Destinations = append(rule.Selector.Destinations, api.DestinationID(d))
@@ -220,6 +220,7 @@
 	return nil
 }
 
+// setIfPresent sets a target to an optional value if the file states it.
 func setIfPresent[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
--- a/cluster/rebalance/planfile/file.go
+++ b/cluster/rebalance/planfile/file.go
@@ -1,6 +1,7 @@
-// Package planfile is the plan language: the blocks of the cluster's operator file (HCL) that state which members and
-// rules a placement of key ranges shall satisfy. It parses and validates a file without knowing the map of ranges;
-// package rebalance finds the steps. docs/cluster.md, "The plan language", has the reasons for the language.
+// Package planfile implements the plan language: the blocks of the cluster's operator file (HCL) that state the members
+// of the cluster and the rules for the placement of key ranges on them. It parses and validates a file without knowing
+// the shard map; package rebalance computes the steps. docs/cluster.md, "The plan language", has the reasons for the
+// language.
 package planfile
 
 import (
@@ -11,11 +12,10 @@
 	"rowanlink/webhook/api"
 )
 
-// File is the plan as an operator file states it. Members and limits keep the file's order; rules and precedences are
-// sorted by line.
+// File is the plan part of an operator file. Members are in the file's order; rules and precedences are sorted by line.
 type File struct {
-	Name           string // names the file in errors
-	Ranges         int    // number of ranges of the first map; 0: not stated
+	Name           string // name of the file, for errors
+	Ranges         int    // number of ranges of the initial map; 0: not stated
 	Members        []Member
 	Rules          []Rule
 	Precedences    []Precedence
@@ -27,7 +27,7 @@
 type Member struct {
 	ID       cluster.MemberID
 	Zone     string
-	Weight   float64 // its share of the ranges, in relation to the other members' weights
+	Weight   float64 // its share of the ranges, relative to the other members' weights
 	Capacity int     // the most ranges that it may own; 0: unlimited
 	Line     int
 }
@@ -49,7 +49,7 @@
 	return [...]string{"", "leave", "pin", "apart", "keep", "alone"}[k]
 }
 
-// Rule is one block that constrains where ranges may be. The names of all rules of a file differ.
+// Rule is one block that constrains the placement of ranges. Rule names are unique in a file.
 type Rule struct {
 	Kind     RuleKind
 	Name     string
@@ -60,40 +60,41 @@
 	ByZone   bool             // AntiAffinity: no two in one zone, rather than on one member
 }
 
-// KeySelector selects the ranges that a rule is about: those that contain one of the destinations, and those that
-// intersect the hashes.
+// KeySelector selects the ranges that a rule applies to: those that contain one of the destinations, and those that
+// intersect the interval of hashes.
 type KeySelector struct {
 	Destinations        []api.DestinationID
 	HasHashes           bool
 	FirstHash, LastHash cluster.KeyHash // inclusive
 }
 
-// Precedence requires that all moves by one rule are done before any move by another starts. Both are indexes of
-// File.Rules.
+// Precedence requires that all moves by the rule First are done before any move by the rule Then starts. Both are
+// indexes of File.Rules.
 type Precedence struct {
 	First, Then int
 	Line        int
 }
 
-// Limits bounds what may be in flight at once. 0 is no limit, except that ConcurrentMoves is at least 1.
+// Limits bounds the moves in flight at the same time. 0 means no limit; ConcurrentMoves is at least 1.
 type Limits struct {
 	ConcurrentMoves int
-	MovesPerMember  int        // moves that a member is the source or the target of
-	MovesPerZone    int        // moves with their source or target in a zone
-	ValueInFlight   float64    // value of what is delivered in the ranges that move
-	Cooldown        api.Micros // between the end of a move and the next start
+	MovesPerMember  int        // moves with one member as source or target
+	MovesPerZone    int        // moves with their source or target in one zone
+	ValueInFlight   float64    // value of the webhooks delivered in the ranges that move
+	Cooldown        api.Micros // minimum time between the end of a move and the start of the next
 	Line            int        // 0: the file states no limits
 }
 
-// StopConditions is the degradation at which the plan stops. The shares are of the webhooks that ended in the ranges
-// that move, above the shares that were usual there before; a share below 0 is not checked.
+// StopConditions is the degradation at which the plan stops. Rejected, DeadLettered and Late limit the share of webhooks
+// with that outcome in the ranges that move: how far it may rise above the share there before the moves. A limit below 0
+// is not checked.
 type StopConditions struct {
 	Rejected, DeadLettered, Late float64
-	Unhealthy                    bool // stop when a destination became unhealthy
+	Unhealthy                    bool // stop when a destination becomes unhealthy
 	Line                         int  // 0: the file states no conditions
 }
 
-// FindMember returns the member of an ID, or nil.
+// FindMember returns the member with an ID, or nil.
 func (f *File) FindMember(id cluster.MemberID) *Member {
 	for i := range f.Members {
 		if f.Members[i].ID == id {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// FindDrain returns the rule by which a member is drained, or nil.
+// FindDrain returns the rule that drains a member, or nil.
 func (f *File) FindDrain(id cluster.MemberID) *Rule { return f.FindRule(Drain, id) }
 
 // FindRule returns the first rule of a kind for a member, or nil.
@@ -116,12 +117,12 @@
 	return nil
 }
 
-// Errorf returns an error of one line that begins with the file's name and a line of it.
+// Errorf returns a one-line error that begins with the file's name and a line number.
 func (f *File) Errorf(line int, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s", f.Name, line, fmt.Sprintf(format, args...))
 }
 
-// JoinSome joins items for an error and leaves out all but the first few, so that the error stays readable.
+// JoinSome joins the first few items and states the number of others, so that an error with many items stays readable.
 func JoinSome(items []string) string {
 	const limit = 8
 	if len(items) > limit {
--- a/cluster/rebalance/planfile/hcl.go
+++ b/cluster/rebalance/planfile/hcl.go
@@ -2,8 +2,8 @@
 
 import "github.com/hashicorp/hcl/v2"
 
-// hclFile is the operator file as it is written. The fleet, site and list blocks, and the other settings of a member,
-// are read by package cluster/config; here they are only accepted.
+// hclFile is the structure of an operator file in HCL. Package cluster/config reads the site and list blocks and the
+// other settings of the fleet and member blocks; this package accepts and ignores them.
 type hclFile struct {
 	Fleets  []hclFleet    `hcl:"fleet,block"`
 	Sites   []hclIgnored  `hcl:"site,block"`
--- a/cluster/rebalance/planfile/parse.go
+++ b/cluster/rebalance/planfile/parse.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Limits on what a file can make a raft node store and a parser descend into.
+// Limits on a file, which is stored by the raft nodes and parsed recursively.
 const (
 	MaxBytes   = 1 << 19 // of a file
 	MaxRanges  = 1 << 16 // of a map
@@ -17,9 +17,9 @@
 	maxMembers = 1 << 12
 )
 
-// Parse reads the plan's blocks of an operator file; name names it in errors. An error is one line with the file, the
-// line and what may stand there. Parse rejects what contradicts itself for every map of ranges; the planner rejects
-// the rest.
+// Parse parses the plan's blocks of an operator file; name is the file's name in errors. An error is one line of text
+// with the file, the line and what is allowed there. Parse rejects contradictions that don't depend on the shard map;
+// the planner rejects all others.
 func Parse(text []byte, name string) (*File, error) {
 	if err := checkSize(text, name); err != nil {
 		return nil, err
@@ -48,7 +48,8 @@
 	return f, f.validate()
 }
 
-// checkSize rejects what would exhaust the parser's stack, since it recurses for each bracket.
+// checkSize rejects files that are too large or too deeply nested. The parser recurses for each bracket, so that deep
+// nesting would exhaust its stack.
 func checkSize(text []byte, name string) error {
 	if len(text) > MaxBytes {
 		return fmt.Errorf("%s:1: %d bytes; it may have %d", name, len(text), MaxBytes)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// oneLineError makes the first error of the diagnostics that has a position an error of one line.
+// oneLineError converts the first of the diagnostics that is an error with a position to a one-line error.
 func oneLineError(diagnostics hcl.Diagnostics, name string) error {
 	for _, d := range diagnostics {
 		if d.Severity == hcl.DiagError && d.Subject != nil {
--- a/cluster/rebalance/planfile/precedence.go
+++ b/cluster/rebalance/planfile/precedence.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// convertPrecedences reads both notations of which rule goes first: before "a" { after = ["b"] } and
-// after "b" { before = ["a"] }.
+// convertPrecedences reads both notations of precedences. These two mean the same, that a precedes b:
+// before "a" { after = ["b"] } and after "b" { before = ["a"] }.
 func (f *File) convertPrecedences(source *hclFile) error {
 	for _, block := range source.Before {
 		for _, then := range block.After {
@@ -50,23 +50,23 @@
 	return 0, f.Errorf(line, "no rule is called %q; it may be %s", name, JoinSome(allowed))
 }
 
-// visitState is how far a depth-first search has come with a rule.
+// visitState is the state of a rule in a depth-first search.
 type visitState uint8
 
 const (
 	unvisited visitState = iota
-	onPath
-	visited
+	onPath               // on the present path
+	visited              // on no cycle
 )
 
-// cycleSearch looks for a cycle of precedences, depth first.
+// cycleSearch is a depth-first search for a cycle of precedences.
 type cycleSearch struct {
 	file  *File
 	state []visitState // by rule
 	path  []Precedence
 }
 
-// validatePrecedences rejects precedences that form a cycle, and names the lines that do.
+// validatePrecedences rejects precedences that form a cycle. The error names their lines.
 func (f *File) validatePrecedences() error {
 	s := &cycleSearch{file: f, state: make([]visitState, len(f.Rules))}
 	for i := range f.Rules {
@@ -80,6 +80,7 @@
 	return nil
 }
 
+// visit extends the path by the precedences whose first rule is the given one.
 func (s *cycleSearch) visit(rule int) error {
 	s.state[rule] = onPath
 	for _, p := range s.file.Precedences {
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// cycleError names the cycle that the last precedence of the path closes.
+// cycleError describes the cycle that the last precedence of the path closes.
 func (s *cycleSearch) cycleError(last Precedence) error {
 	begin := slices.IndexFunc(s.path, func(p Precedence) bool { return p.First == last.Then })
 	var cycle []string
--- a/cluster/rebalance/planfile/validate.go
+++ b/cluster/rebalance/planfile/validate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// validate rejects what contradicts itself for every map of ranges.
+// validate rejects contradictions that don't depend on the shard map.
 func (f *File) validate() error {
 	byName := map[string]*Rule{}
 	for i := range f.Rules {
@@ -22,7 +22,7 @@
 	return f.validatePrecedences()
 }
 
-// validateTarget rejects a rule whose member or zone can't have what the rule wants there.
+// validateTarget rejects a rule whose member doesn't exist or is drained, or whose zone has no member that stays.
 func (f *File) validateTarget(r *Rule) error {
 	if (r.Member != "" || r.Kind == Pin) && f.FindMember(r.Member) == nil {
 		return f.Errorf(r.Line, "%s %q: no member is called %q; it may be %s", r.Kind, r.Name, r.Member,
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// validateZone rejects a zone without a member that stays.
+// validateZone rejects a rule whose zone has no member, or only members that are drained.
 func (f *File) validateZone(r *Rule) error {
 	var zones, drained []string
 	for _, m := range f.Members {
--- a/cluster/rebalance/print.go
+++ b/cluster/rebalance/print.go
@@ -11,21 +11,22 @@
 	"rowanlink/cluster/shardmap"
 )
 
-const defaultRanges = 64 // of a first map, where the file doesn't state how many
+const defaultRanges = 64 // number of ranges of an initial map if the file doesn't state one
 
-// PrintPlan prints what a file makes of a map: the steps, why each is blocked at first, and the keys moved beside the
-// minimum. Without a map it uses the first one that the file's members get. keys is as for NewPlan.
+// PrintPlan prints the plan for a file and a shard map: the steps with the reason why a step can't start at once, the
+// keys moved compared to the minimum, and the members' numbers of ranges. If there is no map yet, it uses the initial
+// map for the file's members. keys is as for NewPlan.
 func PrintPlan(text []byte, name string, m *shardmap.Map, keys func(cluster.RangeID) uint64, out io.Writer) error {
 	f, err := planfile.Parse(text, name)
 	if err != nil {
 		return err
 	}
 	if m == nil || len(m.Ranges) == 0 {
-		m, err = firstMap(f, m)
+		m, err = initialMap(f, m)
 		if err != nil {
 			return fmt.Errorf("%s:1: %w", name, err)
 		}
-		_, _ = fmt.Fprintln(out, "there is no shard map yet: the plan begins at an initial one, by the members' weights")
+		_, _ = fmt.Fprintln(out, "there is no shard map yet: the plan starts from an initial map, divided by the members' weights")
 	}
 	plan, err := NewPlan(f, m, keys)
 	if err != nil {
@@ -48,8 +49,9 @@
 	return printer.printMembers()
 }
 
-// firstMap returns the first map that a file's members get, with the groups of the present one, which may be nil.
-func firstMap(f *planfile.File, present *shardmap.Map) (*shardmap.Map, error) {
+// initialMap returns the initial map for a file's members, with the placement groups of the present map, which may be
+// nil.
+func initialMap(f *planfile.File, present *shardmap.Map) (*shardmap.Map, error) {
 	var weights []shardmap.MemberWeight
 	for _, member := range f.Members {
 		weights = append(weights, shardmap.MemberWeight{Member: member.ID, Weight: member.Weight})
@@ -92,7 +94,7 @@
 	return table.Flush()
 }
 
-// describeStep tells what a step does, and why it can't start yet; blocked is "" if it can.
+// describeStep describes what a step does and whether it starts now. blocked is the reason why it can't, or "".
 func describeStep(s Step, blocked string) string {
 	switch s.Kind {
 	case StepSplit:
@@ -113,7 +115,7 @@
 	return cmp.Or(blocked, "starts now")
 }
 
-// formatKeys prints a number of keys, or the share of the hashes where the counts aren't known.
+// formatKeys formats a number of keys, as a percentage of the hash space if key counts are unknown.
 func (p *planPrinter) formatKeys(n uint64) string {
 	if p.hasKeyCounts {
 		return fmt.Sprint(n)
@@ -121,6 +123,7 @@
 	return fmt.Sprintf("%.3g%%", 100*float64(n)/float64(p.plan.TotalKeys))
 }
 
+// formatRangeID formats the range of a step; 0 is that of a detached move.
 func formatRangeID(id cluster.RangeID) string {
 	if id == 0 {
 		return "-"
@@ -164,7 +167,7 @@
 	return table.Flush()
 }
 
-// PrintProgress prints how far the running plan is, and why it was stopped, if it was.
+// PrintProgress prints the progress of the running plan and, if it was stopped, the reason.
 func PrintProgress(p *Progress, out io.Writer) {
 	if p == nil || p.Number == 0 {
 		return
--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -10,12 +10,12 @@
 	"rowanlink/webhook/api"
 )
 
-// A destination that a rule names is split off the range that it is in: a range of its one hash, between
-// what is left below and above it. The map marks what is split off (shardmap.Range.SplitOff). Its base range, the part
-// that has the range's beginning, stands for the whole range in a member's quota and capacity; split-off parts count
-// nothing there, and go where the base range goes unless a rule is about them.
+// A destination that a rule names is split off its range: its hash becomes a range of one hash, between the rest of the
+// range below and above it. The map marks the split-off parts (shardmap.Range.SplitOff). The part with the range's
+// first hash is the base range. It counts for the whole range in a member's quota and capacity; split-off parts don't
+// count, and are placed with the base range unless a rule applies to them.
 
-// baseIndexes returns, by range, the index of the range that it was split off from; its own if it wasn't.
+// baseIndexes returns, by range, the index of its base range, which is its own index if it was not split off.
 func baseIndexes(ranges []shardmap.Range) []int {
 	base := make([]int, len(ranges))
 	for i := range ranges {
@@ -27,27 +27,27 @@
 	return base
 }
 
-// isSingleHash reports whether a range is one hash.
+// isSingleHash reports whether a range consists of one hash.
 func isSingleHash(r shardmap.Range) bool { return r.From == r.To }
 
-// rangeSplit is a split that a plan needs: what lies from SplitKey on becomes range NewRange.
+// rangeSplit is a split that a plan needs: the hashes of Range from SplitKey on become range NewRange.
 type rangeSplit struct {
 	Range, NewRange cluster.RangeID
 	SplitKey        cluster.KeyHash
 }
 
-// RangeMovingError means that no plan can be made until a move ends, whose range has to be split first.
+// RangeMovingError means that no plan can be made yet: a range has to be split, and its open move has to end first.
 type RangeMovingError struct {
 	Range cluster.RangeID
 	Move  shardmap.Move
 }
 
 func (m *RangeMovingError) Error() string {
-	return fmt.Sprintf("range %d has to be split and moves to %q: first that has to end", m.Range, m.Move.To)
+	return fmt.Sprintf("range %d has to be split, but is moving to %q: the move has to end first", m.Range, m.Move.To)
 }
 
-// splitHashes returns the hashes of the destinations that have to be split off, sorted: those under a pin,
-// anti-affinity or dedicated rule. What has a zone affinity goes there with its range.
+// splitHashes returns the hashes of the destinations that have to be split off, sorted: those that a pin, an
+// anti-affinity or a dedicated rule names. A zone affinity needs no split, since the whole range is placed in the zone.
 func splitHashes(f *planfile.File, m *shardmap.Map) (hashes []cluster.KeyHash) {
 	for _, rule := range f.Rules {
 		if rule.Kind == planfile.ZoneAffinity {
@@ -61,8 +61,8 @@
 	return slices.Compact(hashes)
 }
 
-// neededSplits returns the splits that a file needs of a map, in the order in which they are made, and the map after
-// them.
+// neededSplits returns the splits of a map that a file needs, in the order in which they are made, and the resulting
+// map.
 func neededSplits(f *planfile.File, m *shardmap.Map) (splits []rangeSplit, after *shardmap.Map, err error) {
 	hashes := map[cluster.RangeID][]cluster.KeyHash{}
 	for _, h := range splitHashes(f, m) {
@@ -89,8 +89,8 @@
 	return splits, after, nil
 }
 
-// splitRange returns the parts of a range after some hashes, sorted, are split off, and the splits. It splits from the
-// top, since the lowest part keeps the range's ID and lease.
+// splitRange returns the parts of a range after the given hashes, sorted, are split off, and the splits. It splits from
+// the highest hash down, since the lower part of each split keeps the range's ID and lease.
 func splitRange(r shardmap.Range, hashes []cluster.KeyHash, nextID cluster.RangeID) ([]shardmap.Range, []rangeSplit) {
 	parts := []shardmap.Range{r}
 	var splits []rangeSplit
@@ -98,7 +98,7 @@
 		for _, key := range []cluster.KeyHash{h + 1, h} {
 			low := &parts[0]
 			if key <= low.From || key > low.To {
-				continue // the hash is at an end, or the range is this hash alone
+				continue // the hash is at an end of the range, or is all of it
 			}
 			splits = append(splits, rangeSplit{Range: r.ID, NewRange: nextID, SplitKey: key})
 			upper := shardmap.Range{
@@ -118,8 +118,8 @@
 	return parts, splits
 }
 
-// splitKeyCounts returns a function for the number of keys of ranges after splits: each part has a share of its range's
-// keys by its width.
+// splitKeyCounts returns the keys function for the map after the splits. It estimates the keys of a part by its share
+// of the width of its range; a part of a single hash has at least one.
 func splitKeyCounts(keys func(cluster.RangeID) uint64, before, after *shardmap.Map,
 	splits []rangeSplit) func(cluster.RangeID) uint64 {
 	if keys == nil || len(splits) == 0 {
@@ -146,16 +146,19 @@
 	}
 }
 
-// isBase reports whether a range counts in its member's quota and capacity.
+// isBase reports whether a range is its own base range, so that it counts in its member's quota and capacity.
 func (p *problem) isBase(i int) bool { return p.base[i] == i }
 
-// findFollowers finds the split-off ranges that no rule is about by themselves: they go where their base range goes.
+// findFollowers finds the split-off ranges that are placed with their base range, since no rule treats them
+// differently.
 func (p *problem) findFollowers() {
 	for i, base := range p.base {
 		p.followsBase[i] = base != i && p.hasConstraintsOfBase(i, base)
 	}
 }
 
+// hasConstraintsOfBase reports whether the rules require nothing of a split-off range that they don't require of its
+// base range.
 func (p *problem) hasConstraintsOfBase(i, base int) bool {
 	own, others := p.constraints[i], p.constraints[base]
 	if len(own.rules) == 0 {
@@ -167,7 +170,8 @@
 		!p.isNamedDestination(i)
 }
 
-// isSameTarget reports whether two rules, either of which may be nil, want a range in the same place.
+// isSameTarget reports whether two rules place a range on the same member or in the same zone. A rule may be nil, which
+// equals only nil.
 func isSameTarget(a, b *planfile.Rule) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -175,7 +179,7 @@
 	return a.Member == b.Member && a.Zone == b.Zone
 }
 
-// isNamedDestination reports whether a range is the one hash of a destination that a rule names.
+// isNamedDestination reports whether a range is the single hash of a destination that a rule names.
 func (p *problem) isNamedDestination(i int) bool {
 	if !isSingleHash(p.ranges[i]) {
 		return false
@@ -187,8 +191,8 @@
 	})
 }
 
-// addReshapes puts splits before the steps of a plan, and behind them the merges of split-off ranges that are side by
-// side and that no rule needs apart any more.
+// addReshapes adds the splits before the moves of a plan, and after them the merges of adjacent parts of a range that
+// no rule requires to be separate ranges any more.
 func (p *problem) addReshapes(moves []Step, splits []rangeSplit, target []int) []Step {
 	steps, lastStep := p.splitSteps(splits)
 	for _, s := range moves {
@@ -209,7 +213,7 @@
 	return p.addMerges(steps, lastStep, target)
 }
 
-// splitSteps returns the steps of splits, and by range the last step that is about it.
+// splitSteps returns the steps for splits and, by range, the last step that changes it.
 func (p *problem) splitSteps(splits []rangeSplit) (steps []Step, lastStep map[cluster.RangeID]int) {
 	lastStep = map[cluster.RangeID]int{}
 	for k, split := range splits {
@@ -226,8 +230,9 @@
 	return steps, lastStep
 }
 
+// addMerges adds the merges of adjacent parts of a range whose targets are the same member.
 func (p *problem) addMerges(steps []Step, lastStep map[cluster.RangeID]int, target []int) []Step {
-	first := 0 // of the ranges that are merged into it
+	first := 0 // the range that the following ones are merged into
 	for i := 1; i < len(p.ranges); i++ {
 		if !p.canMerge(first, i) || target[i] != target[first] {
 			first = i
@@ -247,8 +252,8 @@
 	return steps
 }
 
-// canMerge reports whether a later range may be merged into an earlier one: both are parts of one base range, and the
-// later follows it.
+// canMerge reports whether range i may be merged into an earlier one: both are parts of one range, and the rules
+// require nothing of i, or of the earlier part, that they don't require of the base range.
 func (p *problem) canMerge(first, i int) bool {
 	if p.base[i] != p.base[first] || !p.followsBase[i] {
 		return false
