--- a/cluster/rebalance/bench_test.go
+++ b/cluster/rebalance/bench_test.go
@@ -14,15 +14,15 @@
 	"rowanlink/webhook/api"
 )
 
-// largePlan returns a plan file and a map of many members of different weights: some are drained, some are new, some
-// ranges are pinned.
-func largePlan(b *testing.B, n, members int, room, turns bool) (*planfile.File, *shardmap.Map, func(cluster.RangeID) uint64) {
-	chance := rand.New(rand.NewPCG(1, 2))
+// largePlan returns a plan file, a map and key counts for n ranges and members of different weights. Some members are
+// drained or new, and some ranges are pinned.
+func largePlan(b *testing.B, n, members int, capacities, precedences bool) (*planfile.File, *shardmap.Map, func(cluster.RangeID) uint64) {
+	random := rand.New(rand.NewPCG(1, 2))
 	var text strings.Builder
 	var weights []shardmap.MemberWeight
 	for m := range members {
 		fmt.Fprintf(&text, "member \"m%d\" {\n  zone = \"z%d\"\n  weight = %d\n", m, m%3, 1+m%4)
-		if room {
+		if capacities {
 			fmt.Fprintf(&text, "  room = %d\n", (1+m%4)*n*12/10/(members*5/2)+2)
 		}
 		text.WriteString("}\n")
@@ -38,12 +38,12 @@
 	}
 	for d := range 40 {
 		if cluster.DestinationKeyHash(api.DestinationID(d*7+1)) < 1<<60 {
-			continue // would be pinned out of the zone that it is kept to
+			continue // its pin could contradict the zone affinity of these hashes
 		}
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  destinations = [%d]\n  to = \"m%d\"\n}\n", d, d*7+1, d)
 	}
 	text.WriteString("keep \"k\" {\n  hashes = [\"0x0\", \"0x0fffffffffffffff\"]\n  zone = \"z1\"\n}\n")
-	if turns {
+	if precedences {
 		text.WriteString("before \"p0\" { after = [\"p1\", \"m" + fmt.Sprint(members-1) + "\"] }\n")
 	}
 	text.WriteString("bounds {\n  moves_at_once = 16\n  per_member = 2\n}\n")
@@ -54,16 +54,16 @@
 	require.NoError(b, err)
 	keys := make([]uint64, n+1)
 	for i := range keys {
-		keys[i] = uint64(50 + chance.ExpFloat64()*100)
+		keys[i] = uint64(50 + random.ExpFloat64()*100)
 	}
 	return f, m, func(id cluster.RangeID) uint64 { return keys[id] }
 }
 
 func BenchmarkNewPlan(b *testing.B) {
-	for _, turns := range []bool{false, true} {
-		for _, room := range []bool{false, true} {
-			b.Run(fmt.Sprintf("ranges=4096/members=300/room=%v/turns=%v", room, turns), func(b *testing.B) {
-				f, m, keys := largePlan(b, 4096, 300, room, turns)
+	for _, precedences := range []bool{false, true} {
+		for _, capacities := range []bool{false, true} {
+			b.Run(fmt.Sprintf("ranges=4096/members=300/room=%v/turns=%v", capacities, precedences), func(b *testing.B) {
+				f, m, keys := largePlan(b, 4096, 300, capacities, precedences)
 				var p *Plan
 				for b.Loop() {
 					var err error
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkNewPlan_FullMembers has full members exchange ranges, so that each component needs a detour: most of the
-// time goes to the trails.
+// BenchmarkNewPlan_FullMembers plans an exchange of ranges between full members, so that each component needs a detour.
+// Most of the time is spent on the trails.
 func BenchmarkNewPlan_FullMembers(b *testing.B) {
 	const n, members = 4096, 256
 	var text strings.Builder
@@ -95,7 +95,7 @@
 	var err error
 	m.Ranges, err = shardmap.EvenRanges(n, weights)
 	require.NoError(b, err)
-	for i := range m.Ranges { // each range to the next but one member: two rings of full members
+	for i := range m.Ranges { // each range moves to the next but one member: two cycles of full members
 		fmt.Fprintf(&text, "pin \"p%d\" {\n  %s\n  to = \"m%d\"\n}\n", i, hashesIn(i, n), (i/(n/members)+2)%members)
 	}
 	f, err := planfile.Parse([]byte(text.String()), "f.hcl")
--- a/cluster/rebalance/impactmeter_test.go
+++ b/cluster/rebalance/impactmeter_test.go
@@ -13,8 +13,8 @@
 
 const second = api.Second
 
-// newMonitoredSimulation returns a simulation whose ranges all move by a plan with stop conditions, and the range and
-// the move of destination 7.
+// newMonitoredSimulation returns a simulation in which all ranges are moving by a plan with stop conditions, with the
+// range of destination 7 and its move.
 func newMonitoredSimulation(t *testing.T) (sim *simulation, at cluster.RangeID, move shardmap.MoveID) {
 	sim = newSimulation(t, "a", "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"leave \"a\" {}\nbounds { moves_at_once = 2 }\nstop_when {\n late = 0.1\n"+
@@ -33,80 +33,80 @@
 	return nil
 }
 
-// Outcomes before a move are its baseline, those after it count against it, each webhook once, whichever member counted
-// it; the reason names the measure, the range and the share.
+// Outcomes before a move are its baseline, and those since it began are its impact. Each webhook counts once, whichever
+// member counted it. The reason for the stop names the outcome, the range and the share.
 func TestImpact_IsMeasuredAgainstTheBaseline(t *testing.T) {
 	sim, at, _ := newMonitoredSimulation(t)
 	source, target := NewImpactMeter(1, second, 0), NewImpactMeter(2, second, 0)
 	source.CountOutcomes(7, Outcomes{Total: 100, Late: 10})
-	of := sim.progress.MonitoredMoves(sim.file, sim.shards)
-	require.Len(t, of, 2)
-	for _, y := range []*ImpactMeter{source, target} {
-		y.ObserveMap(sim.shards, noneUnhealthy, second)
+	moves := sim.progress.MonitoredMoves(sim.file, sim.shards)
+	require.Len(t, moves, 2)
+	for _, meter := range []*ImpactMeter{source, target} {
+		meter.ObserveMap(sim.shards, noneUnhealthy, second)
 	}
 	source.CountOutcomes(7, Outcomes{Total: 20, Late: 3})
 	target.CountOutcomes(7, Outcomes{Total: 20, Late: 6})
-	var g ImpactCollector
+	var collector ImpactCollector
 	for range 2 { // a repeated report counts once
-		g.AddReport(1, "a", source.Report(1, of, sim.shards, noneUnhealthy, 2*second))
-		g.AddReport(1, "b", target.Report(1, of, sim.shards, noneUnhealthy, 2*second))
+		collector.AddReport(1, "a", source.Report(1, moves, sim.shards, noneUnhealthy, 2*second))
+		collector.AddReport(1, "b", target.Report(1, moves, sim.shards, noneUnhealthy, 2*second))
 	}
-	var another ImpactCollector // of a new coordinator
-	for id, y := range map[cluster.MemberID]*ImpactMeter{"a": source, "b": target} {
-		another.AddReport(1, id, y.Report(1, of, sim.shards, noneUnhealthy, 2*second))
+	var newCollector ImpactCollector // of a new coordinator
+	for id, meter := range map[cluster.MemberID]*ImpactMeter{"a": source, "b": target} {
+		newCollector.AddReport(1, id, meter.Report(1, moves, sim.shards, noneUnhealthy, 2*second))
 	}
-	h := g.Impact(1)
-	assert.Equal(t, h, another.Impact(1))
-	assert.Equal(t, Outcomes{Total: 40, Late: 9}, h.During)
-	assert.Equal(t, Outcomes{Total: 100, Late: 10}, h.Baseline)
-	why := degradation(sim.file.StopConditions, h)
-	assert.Contains(t, why, "0.225 of webhooks late")
-	assert.Contains(t, why, "(9 of 40), 0.1 before; line 5 stops at 0.1 more")
-	assert.Contains(t, why, "most in range "+formatRangeID(at))
+	impact := collector.Impact(1)
+	assert.Equal(t, impact, newCollector.Impact(1))
+	assert.Equal(t, Outcomes{Total: 40, Late: 9}, impact.During)
+	assert.Equal(t, Outcomes{Total: 100, Late: 10}, impact.Baseline)
+	reason := degradation(sim.file.StopConditions, impact)
+	assert.Contains(t, reason, "0.225 of webhooks late")
+	assert.Contains(t, reason, "(9 of 40), 0.1 before; line 5 stops at 0.1 more")
+	assert.Contains(t, reason, "most in range "+formatRangeID(at))
 
 	// The member that counted most of it is killed and restarts: its last report still counts.
-	back := NewImpactMeter(3, second, 0)
+	restarted := NewImpactMeter(3, second, 0)
 	for range 2 {
-		g.AddReport(1, "b", back.Report(1, of, sim.shards, noneUnhealthy, 2*second))
-		back.CountOutcomes(7, Outcomes{Total: 1, Late: 1})
+		collector.AddReport(1, "b", restarted.Report(1, moves, sim.shards, noneUnhealthy, 2*second))
+		restarted.CountOutcomes(7, Outcomes{Total: 1, Late: 1})
 	}
-	assert.Equal(t, Outcomes{Total: 41, Late: 10}, g.Impact(1).During)
+	assert.Equal(t, Outcomes{Total: 41, Late: 10}, collector.Impact(1).During)
 	// Another plan is not stopped by the impact of an earlier one.
-	assert.Empty(t, g.Impact(2).Ranges)
-	g.AddReport(2, "b", target.Report(2, of, sim.shards, noneUnhealthy, 3*second))
-	assert.Equal(t, Outcomes{}, g.Impact(2).During)
+	assert.Empty(t, collector.Impact(2).Ranges)
+	collector.AddReport(2, "b", target.Report(2, moves, sim.shards, noneUnhealthy, 3*second))
+	assert.Equal(t, Outcomes{}, collector.Impact(2).During)
 }
 
-// A destination counts as unhealthy only if it was healthy when its move began, by whichever owner of its range.
+// A destination counts as unhealthy only if neither owner of its range found it unhealthy when the move began.
 func TestImpact_CountsOnlyDestinationsThatWereHealthy(t *testing.T) {
 	for name, c := range map[string]struct {
-		before UnhealthyFunc
-		sick   int
-	}{"well before": {noneUnhealthy, 1}, "sick before": {destination7Unhealthy, 0}} {
+		before    UnhealthyFunc
+		unhealthy int
+	}{"healthy before": {noneUnhealthy, 1}, "unhealthy before": {destination7Unhealthy, 0}} {
 		t.Run(name, func(t *testing.T) {
 			sim, at, _ := newMonitoredSimulation(t)
-			source, target, of := NewImpactMeter(1, second, 0), NewImpactMeter(2, second, 0), sim.progress.MonitoredMoves(sim.file, sim.shards)
+			source, target, moves := NewImpactMeter(1, second, 0), NewImpactMeter(2, second, 0), sim.progress.MonitoredMoves(sim.file, sim.shards)
 			source.ObserveMap(sim.shards, c.before, 0)
 			target.ObserveMap(sim.shards, noneUnhealthy, 0)
-			var g ImpactCollector
-			g.AddReport(1, "a", source.Report(1, of, sim.shards, noneUnhealthy, 1))
-			g.AddReport(1, "b", target.Report(1, of, sim.shards, destination7Unhealthy, 1))
-			assert.Len(t, g.Impact(1).Unhealthy, c.sick)
-			if c.sick > 0 {
-				assert.Equal(t, UnhealthyDestination{7, at}, g.Impact(1).Unhealthy[0])
+			var collector ImpactCollector
+			collector.AddReport(1, "a", source.Report(1, moves, sim.shards, noneUnhealthy, 1))
+			collector.AddReport(1, "b", target.Report(1, moves, sim.shards, destination7Unhealthy, 1))
+			assert.Len(t, collector.Impact(1).Unhealthy, c.unhealthy)
+			if c.unhealthy > 0 {
+				assert.Equal(t, UnhealthyDestination{7, at}, collector.Impact(1).Unhealthy[0])
 			}
 		})
 	}
 }
 
-// No member is polled before a move has started, once all steps are done, once the plan is stopped, or if the file has
+// No moves are monitored before one has started, once all steps are done, once the plan is stopped, or if the file has
 // no stop conditions.
 func TestMonitoredMoves_EmptyUnlessPlanRuns(t *testing.T) {
 	sim, _, _ := newMonitoredSimulation(t)
 	assert.Len(t, sim.progress.MonitoredMoves(sim.file, sim.shards), 2)
-	silent := *sim.file
-	silent.StopConditions.Line = 0
-	assert.Empty(t, sim.progress.MonitoredMoves(&silent, sim.shards))
+	withoutConditions := *sim.file
+	withoutConditions.StopConditions.Line = 0
+	assert.Empty(t, sim.progress.MonitoredMoves(&withoutConditions, sim.shards))
 	stopped := *sim.progress
 	stopped.StopReason = "x"
 	assert.Empty(t, stopped.MonitoredMoves(sim.file, sim.shards))
@@ -116,23 +116,24 @@
 	for sim.applyActions() > 0 {
 	}
 	assert.Empty(t, sim.progress.MonitoredMoves(sim.file, sim.shards))
-	fresh := newSimulation(t, "a")
-	require.NoError(t, fresh.adoptPlan(twoMembers+"leave \"a\" {}\nstop_when { sick = true }\n"))
-	assert.Empty(t, fresh.progress.MonitoredMoves(fresh.file, fresh.shards))
+	notStarted := newSimulation(t, "a")
+	require.NoError(t, notStarted.adoptPlan(twoMembers+"leave \"a\" {}\nstop_when { sick = true }\n"))
+	assert.Empty(t, notStarted.progress.MonitoredMoves(notStarted.file, notStarted.shards))
 }
 
-// A baseline doesn't reach back beyond two windows, and moves are forgotten, however long a member runs.
+// A baseline reaches back two windows at most, and moves that ended are forgotten, so that a member that runs for long
+// neither compares with old outcomes nor accumulates moves.
 func TestImpactMeter_BaselineIsRecent(t *testing.T) {
 	sim, _, move := newMonitoredSimulation(t)
-	y := NewImpactMeter(1, second, 0)
+	meter := NewImpactMeter(1, second, 0)
 	empty := shardmap.New(nil)
-	y.CountOutcomes(7, Outcomes{Total: 1000})
+	meter.CountOutcomes(7, Outcomes{Total: 1000})
 	for n := 1; n < 4; n++ {
-		y.ObserveMap(empty, noneUnhealthy, api.Micros(n)*baselineTTLs*second)
-		y.CountOutcomes(7, Outcomes{Total: 1})
+		meter.ObserveMap(empty, noneUnhealthy, api.Micros(n)*baselineTTLs*second)
+		meter.CountOutcomes(7, Outcomes{Total: 1})
 	}
-	y.ObserveMap(sim.shards, noneUnhealthy, 3*baselineTTLs*second)
-	assert.Equal(t, uint64(2), y.moves[move].baseline.Total)
-	y.ObserveMap(empty, noneUnhealthy, 5*baselineTTLs*second)
-	assert.Empty(t, y.moves)
+	meter.ObserveMap(sim.shards, noneUnhealthy, 3*baselineTTLs*second)
+	assert.Equal(t, uint64(2), meter.moves[move].baseline.Total)
+	meter.ObserveMap(empty, noneUnhealthy, 5*baselineTTLs*second)
+	assert.Empty(t, meter.moves)
 }
--- a/cluster/rebalance/mincostflow/network_test.go
+++ b/cluster/rebalance/mincostflow/network_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// bruteForce returns the largest number of workers that can have a job, and the least cost of that, by trying all
-// assignments.
+// bruteForce returns the largest number of workers that can be assigned to jobs, and the least cost of such an
+// assignment, by trying all assignments.
 func bruteForce(costs [][]int64, capacities []int, fromWorker int) (units int, cost int64) {
 	if fromWorker == len(costs) {
 		return 0, 0
--- a/cluster/rebalance/placement_test.go
+++ b/cluster/rebalance/placement_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// drawRules returns a plan file of a small cluster with rules of each kind.
+// drawRules returns a random plan file of a small cluster with rules of all kinds.
 func drawRules(t *rapid.T, members, n int) string {
 	var s strings.Builder
 	for m := range members {
@@ -21,15 +21,15 @@
 			rapid.IntRange(0, 2).Draw(t, "zone"), rapid.IntRange(0, 3).Draw(t, "weight"),
 			rapid.SampledFrom([]int{0, 0, 1, 2, 3, 4}).Draw(t, "room"))
 	}
-	some := func() string {
+	drawOneRange := func() string {
 		i := rapid.IntRange(0, n-1).Draw(t, "of")
 		return hashesIn(i, n)
 	}
-	span := func() string {
+	drawRangesInARow := func() string {
 		a := rapid.IntRange(0, n-1).Draw(t, "from")
 		b := rapid.IntRange(a, n-1).Draw(t, "to")
-		each := math.MaxUint64 / uint64(n)
-		return fmt.Sprintf("hashes = [\"%d\", \"%d\"]", each*uint64(a)+each/4, each*uint64(b)+each/2)
+		width := math.MaxUint64 / uint64(n)
+		return fmt.Sprintf("hashes = [\"%d\", \"%d\"]", width*uint64(a)+width/4, width*uint64(b)+width/2)
 	}
 	for k := range rapid.IntRange(0, 4).Draw(t, "rules") {
 		m := rapid.IntRange(0, members-1).Draw(t, "member")
@@ -37,50 +37,51 @@
 		case 0:
 			fmt.Fprintf(&s, "leave \"m%d\" {}\n", m)
 		case 1:
-			fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", k, some(), m)
+			fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", k, drawOneRange(), m)
 		case 2:
-			fmt.Fprintf(&s, "keep \"r%d\" {\n %s\n zone = \"z%d\"\n}\n", k, span(), m%3)
+			fmt.Fprintf(&s, "keep \"r%d\" {\n %s\n zone = \"z%d\"\n}\n", k, drawRangesInARow(), m%3)
 		case 3:
-			fmt.Fprintf(&s, "alone \"m%d\" {\n %s\n}\n", m, some())
+			fmt.Fprintf(&s, "alone \"m%d\" {\n %s\n}\n", m, drawOneRange())
 		case 4:
-			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n}\n", k, span())
+			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n}\n", k, drawRangesInARow())
 		case 5:
-			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n by = \"zone\"\n}\n", k, span())
+			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n by = \"zone\"\n}\n", k, drawRangesInARow())
 		}
 	}
 	return s.String()
 }
 
-// satisfiesRules reports whether the rules and capacities allow the ranges on the given members, rule by rule.
-func satisfiesRules(f *planfile.File, t *problem, to []int) bool {
-	has := make([]int, len(f.Members))
-	for _, m := range to {
-		has[m]++
+// satisfiesRules reports whether a placement satisfies the capacities and all rules. It checks each of them directly,
+// independently of the planner.
+func satisfiesRules(f *planfile.File, p *problem, target []int) bool {
+	owned := make([]int, len(f.Members))
+	for _, m := range target {
+		owned[m]++
 	}
 	for m, v := range f.Members {
-		if v.Capacity > 0 && has[m] > v.Capacity {
+		if v.Capacity > 0 && owned[m] > v.Capacity {
 			return false
 		}
 	}
 	for k := range f.Rules {
 		r := &f.Rules[k]
-		covered, err := t.selectRanges(r)
+		selected, err := p.selectRanges(r)
 		if err != nil {
 			return false
 		}
-		for n, i := range covered {
-			m := f.Members[to[i]]
+		for n, i := range selected {
+			m := f.Members[target[i]]
 			if (r.Kind == planfile.Pin || r.Kind == planfile.Dedicated) && m.ID != r.Member || r.Kind == planfile.ZoneAffinity && m.Zone != r.Zone {
 				return false
 			}
-			for _, other := range covered[:n] {
-				if r.Kind == planfile.AntiAffinity && (to[other] == to[i] || r.ByZone && f.Members[to[other]].Zone == m.Zone) {
+			for _, other := range selected[:n] {
+				if r.Kind == planfile.AntiAffinity && (target[other] == target[i] || r.ByZone && f.Members[target[other]].Zone == m.Zone) {
 					return false
 				}
 			}
 		}
 		for m, v := range f.Members {
-			if v.ID == r.Member && (r.Kind == planfile.Drain && has[m] > 0 || r.Kind == planfile.Dedicated && has[m] != len(covered)) {
+			if v.ID == r.Member && (r.Kind == planfile.Drain && owned[m] > 0 || r.Kind == planfile.Dedicated && owned[m] != len(selected)) {
 				return false
 			}
 		}
@@ -88,14 +89,15 @@
 	return true
 }
 
-// quotaDistance returns how far members are from their quotas.
-func quotaDistance(spans []quota, to []int) (sum int) {
-	has := make([]int, len(spans))
-	for _, m := range to {
-		has[m]++
+// quotaDistance returns the deviation of a placement from the members' quotas: for each member, 1 for the first range
+// below or above the quota, 2 for the second, and so on.
+func quotaDistance(quotas []quota, target []int) (sum int) {
+	owned := make([]int, len(quotas))
+	for _, m := range target {
+		owned[m]++
 	}
-	for m, s := range spans {
-		under, over := max(0, s.low-has[m]), max(0, has[m]-s.high)
+	for m, s := range quotas {
+		under, over := max(0, s.low-owned[m]), max(0, owned[m]-s.high)
 		sum += under*(under+1)/2 + over*(over+1)/2
 	}
 	return sum
@@ -121,43 +123,43 @@
 			keys[cluster.RangeID(i+1)] = uint64(rapid.IntRange(0, 5).Draw(t, "keys"))
 		}
 		keyCount := func(id cluster.RangeID) uint64 { return keys[id] }
-		plain := newProblem(f, sim.shards, keyCount)
-		work := newProblem(f, sim.shards, keyCount)
-		err = work.applyRules()
-		var got candidate
-		proven := false
+		withoutRules := newProblem(f, sim.shards, keyCount)
+		p := newProblem(f, sim.shards, keyCount)
+		err = p.applyRules()
+		var chosen candidate
+		isOptimal := false
 		if err == nil {
-			got, proven, err = work.choosePlacement()
+			chosen, isOptimal, err = p.choosePlacement()
 		}
 		if err != nil {
 			require.Regexp(t, `^f\.hcl:\d+: `, err.Error())
-			require.Regexp(t, `line \d+`, err.Error(), "the other line")
+			require.Regexp(t, `line \d+`, err.Error(), "the error names the other line")
 		} else {
-			require.True(t, proven)
-			require.True(t, satisfiesRules(f, plain, got.target), "%v in\n%s", got.target, text)
+			require.True(t, isOptimal)
+			require.True(t, satisfiesRules(f, withoutRules, chosen.target), "%v in\n%s", chosen.target, text)
 		}
-		cost := func(to []int) (sum uint64) {
-			for i, m := range to {
-				if m != plain.owner[i] {
+		cost := func(target []int) (sum uint64) {
+			for i, m := range target {
+				if m != withoutRules.owner[i] {
 					sum += keys[cluster.RangeID(i+1)]
 				}
 			}
 			return sum
 		}
-		to := make([]int, n)
+		other := make([]int, n)
 		for k := 0; k < int(math.Pow(float64(members), float64(n))); k++ {
 			for i, rest := 0, k; i < n; i, rest = i+1, rest/members {
-				to[i] = rest % members
+				other[i] = rest % members
 			}
-			if !satisfiesRules(f, plain, to) {
+			if !satisfiesRules(f, withoutRules, other) {
 				continue
 			}
-			require.NoError(t, err, "%v would do in\n%s", to, text)
-			spans := work.quotas()
-			is, might := quotaDistance(spans, got.target), quotaDistance(spans, to)
-			require.LessOrEqual(t, is, might, "%v is nearer than %v in\n%s", to, got.target, text)
-			if is == might {
-				require.LessOrEqual(t, cost(got.target), cost(to), "%v moves less than %v in\n%s", to, got.target, text)
+			require.NoError(t, err, "%v satisfies the rules in\n%s", other, text)
+			quotas := p.quotas()
+			distance, otherDistance := quotaDistance(quotas, chosen.target), quotaDistance(quotas, other)
+			require.LessOrEqual(t, distance, otherDistance, "%v is closer to the quotas than %v in\n%s", other, chosen.target, text)
+			if distance == otherDistance {
+				require.LessOrEqual(t, cost(chosen.target), cost(other), "%v moves fewer keys than %v in\n%s", other, chosen.target, text)
 			}
 		}
 	})
--- a/cluster/rebalance/plan_test.go
+++ b/cluster/rebalance/plan_test.go
@@ -13,8 +13,8 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Each file is wrong in one way, and the error names the line, what may stand there, and the line that it contradicts.
-// The members are in lines 1 to 3; there are 16 ranges.
+// Each file has one error. The message names the line, what is allowed there, and the line that it contradicts. The
+// members are in lines 1 to 3; there are 16 ranges.
 func TestNewPlan_ErrorsNameBothLines(t *testing.T) {
 	const members = "member \"a\" { zone = \"x\" }\nmember \"b\" { zone = \"x\" }\n" +
 		"member \"c\" { zone = \"y\" }\n"
@@ -42,7 +42,7 @@
 		{"apart and kept together", members +
 			"apart \"r\" {\n destinations = [1, 2]\n by = \"zone\"\n}\nkeep \"k\" {\n" +
 			" destinations = [1, 2]\n zone = \"x\"\n}", `shall both be in zone "x", by keep "k" (line 8)`},
-		{"nothing is at odds", full + "member \"c\" {}\nleave \"c\" {}\nmember \"d\" {}\nleave \"d\" {}\n" +
+		{"no contradiction", full + "member \"c\" {}\nleave \"c\" {}\nmember \"d\" {}\nleave \"d\" {}\n" +
 			"keep \"k\" {\n destinations = [1]\n zone = \"\"\n}\nmember \"e\" { room = 1 }\n" +
 			"alone \"e\" { destinations = [3] }\n" +
 			"apart \"z\" { destinations = [5, 9] }", ""},
@@ -78,31 +78,32 @@
 	return &shardmap.Map{Version: 1, Ranges: even}
 }
 
-// Precedences may contradict capacities, and full members may not be able to exchange ranges.
+// There may be no order of the moves because precedences conflict with capacities, or because full members can't
+// exchange ranges. The error says which.
 func TestNewPlan_ErrorTellsWhyThereIsNoOrder(t *testing.T) {
 	const members = "member \"a\" { room = 1 }\nmember \"b\" { room = 1 }\n"
 	swap := "pin \"p\" {\n " + hashesIn(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + hashesIn(1, 2) + "\n to = \"a\"\n}\n"
-	made := func(text string) (*Plan, error) {
+	newPlan := func(text string) (*Plan, error) {
 		f, err := planfile.Parse([]byte(text), "f.hcl")
 		require.NoError(t, err)
 		return NewPlan(f, newSimulation(t, "a", "b").shards, nil)
 	}
-	_, err := made(members + swap)
+	_, err := newPlan(members + swap)
 	assert.ErrorContains(t, err,
 		`f.hcl:1: "a" (line 1, room = 1), "b" (line 2, room = 1) are at capacity and shall exchange`)
-	p, err := made(members + "member \"c\" { weight = 0 }\n" + swap)
+	p, err := newPlan(members + "member \"c\" { weight = 0 }\n" + swap)
 	require.NoError(t, err)
 	require.Len(t, p.Steps, 3)
 	assert.Equal(t, []StepKind{StepDetour, StepMove, StepMove}, []StepKind{p.Steps[0].Kind, p.Steps[1].Kind, p.Steps[2].Kind})
 	assert.Equal(t, p.MinMovedKeys*3/2, p.MovedKeys)
 	move := "pin \"p\" {\n " + hashesIn(0, 2) + "\n to = \"b\"\n}\npin \"q\" {\n " + hashesIn(1, 2) + "\n to = \"c\"\n}\n"
-	_, err = made(members + "member \"c\" {}\n" + move + "before \"p\" { after = [\"q\"] }\n")
+	_, err = newPlan(members + "member \"c\" {}\n" + move + "before \"p\" { after = [\"q\"] }\n")
 	assert.ErrorContains(t, err,
 		"f.hcl:12: there is no order of moves: range 2 is blocked by this line, and \"b\" has no capacity "+
 			"(line 2, room = 1) for range 1 until it has left")
 }
 
-// The range of the fewest keys makes the detour, to where all its rules hold.
+// The range with the fewest keys makes the detour, to a member where all its rules are satisfied.
 func TestNewPlan_DetoursSatisfyRules(t *testing.T) {
 	const swap = "member \"a\" {\n zone = \"x\"\n room = 1\n}\nmember \"b\" {\n zone = \"x\"\n room = 1\n}\n"
 	pins := "pin \"p\" {\n " + hashesIn(0, 3) + "\n to = \"b\"\n}\npin \"q\" {\n " + hashesIn(1, 3) + "\n to = \"a\"\n}\n" +
@@ -110,7 +111,7 @@
 	free := "member \"c\" { zone = \"y\" }\n"
 	for _, c := range []struct {
 		name, rules string
-		over        cluster.RangeID // 0: refused
+		detour      cluster.RangeID // 0: there is no plan
 	}{
 		{"none", free, 2},
 		{"in the zone", free + "keep \"k\" {\n " + hashesIn(1, 3) + "\n zone = \"x\"\n}\n", 1},
@@ -125,13 +126,13 @@
 			f, err := planfile.Parse([]byte(swap+c.rules+pins), "f.hcl")
 			require.NoError(t, err)
 			p, err := NewPlan(f, newSimulation(t, "a", "b", "c").shards, func(id cluster.RangeID) uint64 { return uint64(10 - id) })
-			if c.over == 0 {
+			if c.detour == 0 {
 				assert.ErrorContains(t, err, "are at capacity and shall exchange")
 				return
 			}
 			require.NoError(t, err)
 			assert.Equal(t, StepDetour, p.Steps[0].Kind)
-			assert.Equal(t, c.over, p.Steps[0].Range)
+			assert.Equal(t, c.detour, p.Steps[0].Range)
 		})
 	}
 }
--- a/cluster/rebalance/planfile/parse_test.go
+++ b/cluster/rebalance/planfile/parse_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each file is wrong in one way, and the error names the line, what may stand there, and the line that it contradicts.
-// The members are in lines 1 to 3.
+// Each file has one error. The message names the line, what is allowed there, and the line that it contradicts. The
+// members are in lines 1 to 3.
 func TestParse_ErrorsNameBothLines(t *testing.T) {
 	const members = "member \"a\" { zone = \"x\" }\nmember \"b\" { zone = \"x\" }\n" +
 		"member \"c\" { zone = \"y\" }\n"
@@ -47,7 +47,7 @@
 			`f.hcl:5: keep "k": zone "y" has no member that stays: "c" leaves by line 4`},
 		{"no such rule", members + "leave \"a\" {}\nbefore \"a\" { after = [\"p\"] }",
 			`f.hcl:5: no rule is called "p"; it may be`},
-		{"a circle", members + "leave \"a\" {}\nleave \"b\" {}\nbefore \"a\" { after = [\"b\"] }\n" +
+		{"cycle of precedences", members + "leave \"a\" {}\nleave \"b\" {}\nbefore \"a\" { after = [\"b\"] }\n" +
 			"after \"a\" { before = [\"b\"] }",
 			`f.hcl:7: the precedences form a cycle: "a" before "b" (line 6), "b" before "a" (line 7)`},
 	} {
--- a/cluster/rebalance/print_test.go
+++ b/cluster/rebalance/print_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// The example file that operators start from makes a plan from the first map.
+// The example file for operators yields a plan from the initial map.
 func TestPrintPlan_ExampleFile(t *testing.T) {
 	example, err := os.ReadFile("../../deploy/fleet.hcl")
 	require.NoError(t, err)
--- a/cluster/rebalance/quota_test.go
+++ b/cluster/rebalance/quota_test.go
@@ -41,14 +41,15 @@
 		t.Run(name, func(t *testing.T) {
 			f, err := planfile.Parse([]byte(c.text), "f.hcl")
 			require.NoError(t, err)
-			work := newProblem(f, newSimulation(t, "a", "a", "a", "a", "a", "a", "a", "a").shards, nil)
-			require.NoError(t, work.applyRules())
-			assert.Equal(t, c.want, work.quotas())
+			p := newProblem(f, newSimulation(t, "a", "a", "a", "a", "a", "a", "a", "a").shards, nil)
+			require.NoError(t, p.applyRules())
+			assert.Equal(t, c.want, p.quotas())
 		})
 	}
 }
 
-// Where rules keep members from their quotas, two members are one range off each rather than one by two.
+// If rules keep members from their quotas, the deviation is spread: two members deviate by one range each, rather than
+// one member by two.
 func TestNewPlan_SharesDeviationsFromQuotasEvenly(t *testing.T) {
 	text := "member \"a\" {}\nmember \"b\" {}\nmember \"c\" { weight = 0 }\nmember \"d\" { weight = 0 }\n" +
 		"apart \"p\" { hashes = [\"0x0\", \"0x5fffffffffffffff\"] }\n" +
--- a/cluster/rebalance/rangesplit_test.go
+++ b/cluster/rebalance/rangesplit_test.go
@@ -17,17 +17,17 @@
 	"rowanlink/webhook/api"
 )
 
-// destinations are in a few ranges, two or more in one.
+// destinations are the destinations that random rules name. In a map of few ranges, two or more are in one range.
 var destinations = []api.DestinationID{2, 4, 1, 3}
 
-// drawDestinationRules returns a plan file of a small cluster with rules that name destinations.
+// drawDestinationRules returns a random plan file of a small cluster with rules that name destinations.
 func drawDestinationRules(t *rapid.T, members int) string {
 	var s strings.Builder
 	for m := range members {
 		fmt.Fprintf(&s, "member \"m%d\" {\n zone = \"z%d\"\n weight = %d\n room = %d\n}\n", m, m%2,
 			rapid.IntRange(0, 2).Draw(t, "weight"), rapid.SampledFrom([]int{0, 0, 1, 2, 3}).Draw(t, "room"))
 	}
-	some := func() string {
+	drawDestinations := func() string {
 		n := rapid.IntRange(1, 2).Draw(t, "of")
 		at := rapid.IntRange(0, len(destinations)-n).Draw(t, "from")
 		return fmt.Sprintf("destinations = [%s]", strings.Trim(strings.Join(strings.Fields(
@@ -39,39 +39,40 @@
 		case "leave":
 			fmt.Fprintf(&s, "leave \"m%d\" {}\n", m)
 		case "pin":
-			fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", k, some(), m)
+			fmt.Fprintf(&s, "pin \"r%d\" {\n %s\n to = \"m%d\"\n}\n", k, drawDestinations(), m)
 		case "alone":
-			fmt.Fprintf(&s, "alone \"m%d\" {\n %s\n}\n", m, some())
+			fmt.Fprintf(&s, "alone \"m%d\" {\n %s\n}\n", m, drawDestinations())
 		case "apart":
-			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n}\n", k, some())
+			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n}\n", k, drawDestinations())
 		case "zone":
-			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n by = \"zone\"\n}\n", k, some())
+			fmt.Fprintf(&s, "apart \"r%d\" {\n %s\n by = \"zone\"\n}\n", k, drawDestinations())
 		}
 	}
 	return s.String()
 }
 
-// satisfiesByDestination reports whether the rules allow ranges and destinations on the given members.
-func satisfiesByDestination(f *planfile.File, whole []int, of map[api.DestinationID]int) bool {
-	has := make([]int, len(f.Members))
-	for _, m := range whole {
-		has[m]++
+// satisfiesByDestination reports whether a placement of ranges and of named destinations satisfies the capacities and
+// all rules.
+func satisfiesByDestination(f *planfile.File, target []int, byDestination map[api.DestinationID]int) bool {
+	owned := make([]int, len(f.Members))
+	for _, m := range target {
+		owned[m]++
 	}
 	for m, v := range f.Members {
-		if v.Capacity > 0 && has[m] > v.Capacity {
+		if v.Capacity > 0 && owned[m] > v.Capacity {
 			return false
 		}
 	}
 	for _, r := range f.Rules {
-		mine := map[api.DestinationID]bool{}
+		selected := map[api.DestinationID]bool{}
 		for n, d := range r.Selector.Destinations {
-			m := f.Members[of[d]]
-			mine[d] = true
+			m := f.Members[byDestination[d]]
+			selected[d] = true
 			if (r.Kind == planfile.Pin || r.Kind == planfile.Dedicated) && m.ID != r.Member {
 				return false
 			}
 			for _, o := range r.Selector.Destinations[:n] {
-				if other := f.Members[of[o]]; r.Kind == planfile.AntiAffinity && (other.ID == m.ID || r.ByZone && other.Zone == m.Zone) {
+				if other := f.Members[byDestination[o]]; r.Kind == planfile.AntiAffinity && (other.ID == m.ID || r.ByZone && other.Zone == m.Zone) {
 					return false
 				}
 			}
@@ -80,12 +81,12 @@
 			if v.ID != r.Member || r.Kind != planfile.Drain && r.Kind != planfile.Dedicated {
 				continue
 			}
-			for d, at := range of {
-				if at == m && !mine[d] {
+			for d, at := range byDestination {
+				if at == m && !selected[d] {
 					return false
 				}
 			}
-			if has[m] > 0 {
+			if owned[m] > 0 {
 				return false
 			}
 		}
@@ -100,11 +101,11 @@
 	owners   []int // by range
 	before   shardmap.Map
 	keyCount func(cluster.RangeID) uint64
-	named    []api.DestinationID // by rules
+	named    []api.DestinationID // destinations that rules name
 	quotas   []quota
 }
 
-// drawSplitCase returns a case and its simulation, or false if the file contradicts itself.
+// drawSplitCase returns a random case and its simulation, or false if the file contradicts itself.
 func drawSplitCase(t *rapid.T) (*splitCase, *simulation, bool) {
 	members, n := rapid.IntRange(1, 3).Draw(t, "members"), rapid.IntRange(1, 4).Draw(t, "ranges")
 	c := &splitCase{text: drawDestinationRules(t, members)}
@@ -141,8 +142,8 @@
 	})
 }
 
-// search tries every placement of the ranges and the named destinations one by one. It returns the least distance from
-// the quotas that the rules allow and the fewest keys moved at that, or false if they allow none.
+// search tries every placement of the ranges and the named destinations. It returns the least distance from the quotas
+// that the rules allow and the fewest keys moved at that distance, or false if the rules allow no placement.
 func (c *splitCase) search() (distance int, movedKeys uint64, found bool) {
 	distance, movedKeys = math.MaxInt, math.MaxUint64
 	members, n := len(c.file.Members), len(c.owners)
@@ -172,7 +173,8 @@
 	return distance, movedKeys, found
 }
 
-// requireResult checks where the ranges and the named destinations are in the end.
+// requireResult checks that the final placement satisfies the rules, is as close to the quotas as the given distance,
+// and needs no further steps.
 func (c *splitCase) requireResult(t *rapid.T, sim *simulation, distance int) {
 	var ranges []int
 	for i, base := range baseIndexes(sim.shards.Ranges) {
@@ -188,29 +190,30 @@
 	}
 	require.True(t, satisfiesByDestination(sim.file, ranges, byDestination), "%v %v in\n%s", ranges, byDestination,
 		c.text)
-	require.Equal(t, distance, quotaDistance(c.quotas, ranges), "distance from the parts in\n%s", c.text)
+	require.Equal(t, distance, quotaDistance(c.quotas, ranges), "distance from the quotas in\n%s", c.text)
 	again, err := NewPlan(sim.file, sim.shards, nil)
 	require.NoError(t, err)
 	require.Empty(t, again.Steps)
 }
 
-// requireMerged checks that all is merged once no rule names a destination: the map has the ranges that it had.
+// requireMerged checks that all split-off parts are merged by a plan whose rules name no destination, so that the map
+// has its original ranges again.
 func (c *splitCase) requireMerged(t *rapid.T, sim *simulation) {
-	bare := c.text[:strings.LastIndex(c.text, "member")]
-	bare = c.text[:len(bare)+strings.Index(c.text[len(bare):], "}\n")+2]
-	if sim.adoptPlan(bare) != nil { // the members' capacities may need a rule
+	withoutRules := c.text[:strings.LastIndex(c.text, "member")]
+	withoutRules = c.text[:len(withoutRules)+strings.Index(c.text[len(withoutRules):], "}\n")+2]
+	if sim.adoptPlan(withoutRules) != nil { // without the rules, the capacities may not suffice
 		return
 	}
 	sim.runToEnd(t)
-	require.Len(t, sim.shards.Ranges, len(c.owners), "%s", bare)
+	require.Len(t, sim.shards.Ranges, len(c.owners), "%s", withoutRules)
 	for i, r := range sim.shards.Ranges {
 		require.Equal(t, c.before.Ranges[i].To, r.To)
 	}
 }
 
-// Destinations that rules name are split off, so that the rules hold, no member exceeds its capacity meanwhile, and as
-// few keys move as by any placement of the ranges and the named destinations; there is an error if and only if there is
-// no such placement; and the result is stable.
+// Destinations that rules name are split off. The result satisfies the rules, moves as few keys as any placement of the
+// ranges and the named destinations, and needs no further steps; no member exceeds its capacity at any time. There is
+// an error if and only if no placement satisfies the rules.
 func TestNewPlan_SplitsOffNamedDestinationsOptimally(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, sim, ok := drawSplitCase(t)
@@ -226,7 +229,7 @@
 		if !found {
 			return
 		}
-		tolerance := uint64(4 * (len(c.named) + 1)) // a destination's own key, and rounding
+		tolerance := uint64(4 * (len(c.named) + 1)) // for the key counted for each single hash, and rounding
 		for _, s := range plan.Steps {
 			if s.Kind == StepDetour {
 				tolerance += 2 * s.Keys
@@ -250,17 +253,17 @@
 	return -1
 }
 
-// quotasOf returns the members' quotas of n ranges, without what rules name.
+// quotasOf returns the members' quotas of n ranges where no range is split off: dedicated members have no share.
 func quotasOf(f *planfile.File, n int) []quota {
 	even, _ := shardmap.EvenRanges(n, []shardmap.MemberWeight{{Member: f.Members[0].ID, Weight: 1}})
-	t := newProblem(f, &shardmap.Map{Ranges: even}, nil)
+	p := newProblem(f, &shardmap.Map{Ranges: even}, nil)
 	for m, v := range f.Members {
-		t.dedicated[m] = f.FindRule(planfile.Dedicated, v.ID)
+		p.dedicated[m] = f.FindRule(planfile.Dedicated, v.ID)
 	}
-	return t.quotas()
+	return p.quotas()
 }
 
-// A range that moves can't be split: the error names it, so that the coordinator can end the move first.
+// A range that is moving can't be split. The error names the range, so that the coordinator can end the move first.
 func TestNewPlan_DoesNotSplitAMovingRange(t *testing.T) {
 	sim := newSimulation(t, "a", "a", "b", "b")
 	sim.mustPropose(shardmap.Coordinator(1).PlanMove(1, "a", "b"))
@@ -272,7 +275,8 @@
 	assert.Equal(t, cluster.RangeID(1), moving.Range)
 }
 
-// Split-off ranges that follow their base range are weighed with it: the base range alone looks cheap.
+// The cost of moving a base range includes the split-off ranges that follow it. Without these, it would look cheaper
+// than it is.
 func TestNewPlan_WeighsSplitOffRangesWithTheirBase(t *testing.T) {
 	f, err := planfile.Parse([]byte(twoMembers+"pin \"p\" {\n destinations = [2]\n to = \"a\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
--- a/cluster/rebalance/replacement_test.go
+++ b/cluster/rebalance/replacement_test.go
@@ -13,8 +13,9 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Another plan may replace the running one at any moment, and coordinators change. Ranges that have switched stay,
-// moves to where the new plan wants them go on, the others are rolled back; capacities and limits hold all the while.
+// Another plan may replace the running one at any moment, and the coordinator may change. Ranges that have switched stay,
+// moves to the range's target in the new plan continue, all others are rolled back, and capacities and limits hold at
+// all times.
 func TestSchedule_AnotherPlanTakesOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPinnedCluster(t, false)
@@ -27,7 +28,7 @@
 			for sim.applyActions() > 0 {
 			}
 			if open := sim.openMoves(); len(open) > 0 {
-				sim.advanceMove(open[rapid.IntRange(0, len(open)-1).Draw(t, "goes on")])
+				sim.advanceMove(open[rapid.IntRange(0, len(open)-1).Draw(t, "advanced move")])
 			}
 		}
 		for i := range p.target {
@@ -39,15 +40,15 @@
 		if sim.adoptPlan(p.file()+bounds) != nil {
 			return
 		}
-		backs := map[shardmap.MoveID]bool{}
+		rolledBack := map[shardmap.MoveID]bool{}
 		for _, a := range sim.schedule().Actions {
 			if a.Kind == ActionRollBack {
-				backs[a.Move] = true
+				rolledBack[a.Move] = true
 			}
 		}
 		for _, r := range before {
 			to := cluster.MemberID(fmt.Sprint("m", p.target[int(r.ID)-1]))
-			assert.Equal(t, r.Move.Step < shardmap.StepSwitched && to != r.Move.To, backs[r.Move.ID],
+			assert.Equal(t, r.Move.Step < shardmap.StepSwitched && to != r.Move.To, rolledBack[r.Move.ID],
 				"range %d at step %d to %s, now to %s", r.ID, r.Move.Step, r.Move.To, to)
 		}
 		sim.runToEnd(t)
@@ -57,7 +58,7 @@
 	})
 }
 
-// A plan made of the result of the same plan has no steps.
+// A plan for the map that results from the same plan has no steps.
 func TestNewPlan_IsEmptyOnceDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members, n := rapid.IntRange(1, 4).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "ranges")
@@ -76,7 +77,7 @@
 	})
 }
 
-// A move that no step wants is rolled back, unless it has switched.
+// A move that belongs to no step of the plan is rolled back unless it has switched.
 func TestSchedule_RollsBackUnwantedMoves(t *testing.T) {
 	sim := newSimulation(t, "a", "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"pin \"p\" {\n "+hashesIn(0, 2)+"\n to = \"b\"\n}\npin \"q\" {\n "+hashesIn(1,
@@ -93,28 +94,29 @@
 	}
 }
 
-// Of ranges that could move alike, those in flight are preferred: a file that only changes a limit rolls none back.
+// If several ranges could be moved at the same cost, those already in flight are chosen, so that a file that only
+// changes a limit rolls no move back.
 func TestNewPlan_ContinuesMovesInFlight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim, text := newSimulation(t, "a", "a", "a", "a", "a", "a"), "member \"a\" {}\nmember \"b\" {}\n"
 		sim.file, _ = planfile.Parse([]byte(text), "f.hcl")
-		under := map[cluster.RangeID]bool{}
-		for range rapid.IntRange(1, 3).Draw(t, "under way") {
+		moving := map[cluster.RangeID]bool{}
+		for range rapid.IntRange(1, 3).Draw(t, "moves in flight") {
 			id := cluster.RangeID(rapid.IntRange(1, 6).Draw(t, "range"))
-			if under[id] {
+			if moving[id] {
 				continue
 			}
-			under[id] = true
+			moving[id] = true
 			sim.mustPropose(shardmap.Coordinator(1).PlanMove(id, "a", "b"))
 		}
 		require.NoError(t, sim.adoptPlan(text))
-		kept := 0
+		continued := 0
 		for _, s := range sim.progress.Steps {
 			require.NotEqual(t, StepRollBack, s.Kind)
 			if s.Kind == StepContinue {
-				kept++
+				continued++
 			}
 		}
-		require.Equal(t, len(under), kept)
+		require.Equal(t, len(moving), continued)
 	})
 }
--- a/cluster/rebalance/scheduler_test.go
+++ b/cluster/rebalance/scheduler_test.go
@@ -13,16 +13,16 @@
 
 const twoMembers = "member \"a\" { zone = \"x\" }\nmember \"b\" { zone = \"y\" }\n"
 
-// A range whose value alone is above the limit waits, and doesn't hold up the others; one that is below the limit, but
-// above what is left of it, is not overtaken forever.
+// A range whose value alone exceeds the limit is blocked, but doesn't block others. A range whose value exceeds only
+// what is left of the limit blocks later ones, so that it can't be overtaken forever.
 func TestSchedule_LimitsValueInFlight(t *testing.T) {
 	text := twoMembers + "pin \"all\" {\n hashes = [\"0\", \"0xffffffffffffffff\"]\n to = \"b\"\n}\n" +
 		"bounds {\n moves_at_once = 9\n value_under_way = 10\n}\n"
 	sim := newSimulation(t, "a", "a", "a", "a", "a")
-	worth := map[cluster.RangeID]float64{1: 11, 2: 6, 3: 5, 4: 1, 5: 1}
-	sim.rangeValue = func(id cluster.RangeID) float64 { return worth[id] }
+	values := map[cluster.RangeID]float64{1: 11, 2: 6, 3: 5, 4: 1, 5: 1}
+	sim.rangeValue = func(id cluster.RangeID) float64 { return values[id] }
 	require.NoError(t, sim.adoptPlan(text))
-	starts := func() (all []cluster.RangeID) {
+	startedRanges := func() (all []cluster.RangeID) {
 		for _, a := range sim.schedule().Actions {
 			if a.Kind == ActionStart {
 				all = append(all, a.Range)
@@ -30,15 +30,15 @@
 		}
 		return all
 	}
-	assert.Equal(t, []cluster.RangeID{2}, starts())
-	for _, wait := range sim.schedule().Blocked {
-		assert.Contains(t, wait.Reason, "value_under_way is 10 (line 7)")
+	assert.Equal(t, []cluster.RangeID{2}, startedRanges())
+	for _, blocked := range sim.schedule().Blocked {
+		assert.Contains(t, blocked.Reason, "value_under_way is 10 (line 7)")
 	}
 	sim.applyActions()
-	worth[2] = 3
-	assert.Equal(t, []cluster.RangeID{3, 4, 5}, starts())
-	worth[1] = 7
-	assert.Equal(t, []cluster.RangeID{1}, starts())
+	values[2] = 3
+	assert.Equal(t, []cluster.RangeID{3, 4, 5}, startedRanges())
+	values[1] = 7
+	assert.Equal(t, []cluster.RangeID{1}, startedRanges())
 }
 
 func TestSchedule_WaitsForCooldown(t *testing.T) {
@@ -55,17 +55,17 @@
 func TestSchedule_StopsThePlanOnDegradation(t *testing.T) {
 	text := twoMembers +
 		"leave \"a\" {}\nbounds { moves_at_once = 2 }\nstop_when {\n rejected = 0.02\n sick = true\n}\n"
-	usual := Outcomes{Total: 1000, Rejected: 10}
+	baseline := Outcomes{Total: 1000, Rejected: 10}
 	for name, c := range map[string]struct {
-		harm Impact
-		why  string
+		impact Impact
+		reason string
 	}{
-		"none": {Impact{During: Outcomes{Total: 100, Rejected: 3}, Baseline: usual}, ""},
-		"over": {Impact{During: Outcomes{Total: 100, Rejected: 4}, Baseline: usual},
+		"none": {Impact{During: Outcomes{Total: 100, Rejected: 3}, Baseline: baseline}, ""},
+		"over": {Impact{During: Outcomes{Total: 100, Rejected: 4}, Baseline: baseline},
 			"0.04 of webhooks rejected"},
-		"too few to tell":      {Impact{During: Outcomes{Total: 49, Rejected: 49}, Baseline: usual}, ""},
-		"late is not asked":    {Impact{During: Outcomes{Total: 100, Late: 100}}, ""},
-		"a destination is ill": {Impact{Unhealthy: []UnhealthyDestination{{7, 1}}}, "destination 7 became unhealthy"},
+		"too few to tell":       {Impact{During: Outcomes{Total: 49, Rejected: 49}, Baseline: baseline}, ""},
+		"late has no limit":     {Impact{During: Outcomes{Total: 100, Late: 100}}, ""},
+		"unhealthy destination": {Impact{Unhealthy: []UnhealthyDestination{{7, 1}}}, "destination 7 became unhealthy"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, "a", "a", "a")
@@ -74,27 +74,27 @@
 			}
 			sim.advanceMove(sim.openMoves()[0])
 			require.Len(t, sim.openMoves(), 2)
-			out := sim.progress.Schedule(sim.file, sim.shards, Observations{Impact: c.harm})
-			if c.why == "" {
+			out := sim.progress.Schedule(sim.file, sim.shards, Observations{Impact: c.impact})
+			if c.reason == "" {
 				assert.Empty(t, out.Actions)
 				return
 			}
 			require.Len(t, out.Actions, 3)
 			assert.Equal(t, ActionStop, out.Actions[0].Kind)
-			assert.Contains(t, out.Actions[0].Reason, c.why)
+			assert.Contains(t, out.Actions[0].Reason, c.reason)
 			sim.mustPropose(Coordinator(1).Stop(1, out.Actions[0].Reason))
 			for sim.applyActions() > 0 {
 			}
 			assert.Empty(t, sim.openMoves())
 			assert.True(t, sim.schedule().Finished)
-			assert.Contains(t, sim.schedule().Blocked[0].Reason, "the plan is stopped: "+c.why)
+			assert.Contains(t, sim.schedule().Blocked[0].Reason, "the plan is stopped: "+c.reason)
 			require.NoError(t, sim.adoptPlan(text))
 			assert.Len(t, sim.schedule().Actions, 2)
 		})
 	}
 }
 
-// Moves to a member without a session are rolled back, and start again once it has one.
+// Moves to a member without a session are rolled back, and start again once the member has a session.
 func TestSchedule_RollsBackMovesToLostMember(t *testing.T) {
 	sim := newSimulation(t, "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"leave \"a\" {}\n"))
@@ -112,7 +112,7 @@
 	assert.Equal(t, uint64(1), sim.progress.Number)
 }
 
-// After a failover a range is elsewhere than the steps expect: the plan is made again from the new map.
+// After a failover, a range is on another member than the steps expect. The plan is computed again from the new map.
 func TestSchedule_ReplansAfterFailover(t *testing.T) {
 	sim := newSimulation(t, "a", "a")
 	require.NoError(t, sim.adoptPlan(twoMembers+"member \"c\" {}\npin \"p\" {\n "+hashesIn(0,
--- a/cluster/rebalance/sequencer_test.go
+++ b/cluster/rebalance/sequencer_test.go
@@ -13,12 +13,12 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// pinnedCluster is a small cluster where each range is pinned, so that only the order of the moves is open. Members and
-// ranges are numbered.
+// pinnedCluster is a small cluster where each range is pinned, so that the planner only chooses the order of the moves.
+// Members and ranges are identified by their index.
 type pinnedCluster struct {
-	capacity      []int // by member; 0: no bound
-	owner, target []int // by range
-	precedences   [][2]int
+	capacity      []int    // by member; 0: unlimited
+	owner, target []int    // by range
+	precedences   [][2]int // ranges: the pin of the first precedes that of the second
 }
 
 // drawPinnedCluster returns a random cluster, with or without precedences.
@@ -54,7 +54,8 @@
 	return p
 }
 
-// closeTransitively adds the implied precedences: a before b and b before c is a before c, even if b doesn't move.
+// closeTransitively adds the implied precedences: if a precedes b and b precedes c, a precedes c even if b doesn't
+// move.
 func (p *pinnedCluster) closeTransitively() {
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
@@ -69,6 +70,7 @@
 	}
 }
 
+// file returns the plan file.
 func (p pinnedCluster) file() string {
 	var s strings.Builder
 	for m, capacity := range p.capacity {
@@ -90,9 +92,9 @@
 	return all
 }
 
-// minDetours returns the fewest detours of any order by exhaustive search, or -1 if there is no order.
+// minDetours returns the least number of detours in any order, by exhaustive search, or -1 if there is no order.
 func (p pinnedCluster) minDetours() int {
-	type state string // by range its member, 'a'+member, and then '+' if it made its detour
+	type state string // by range, 'a' + its member; then, by range, '+' if it has made its detour, else '-'
 	at := func(i int, s state) int { return int(s[i] - 'a') }
 	start := make([]byte, 2*len(p.owner))
 	for i, m := range p.owner {
@@ -145,8 +147,8 @@
 	return -1
 }
 
-// checkPlan makes a plan of the cluster, runs it to its end with moves in random order, and checks the order against an
-// exhaustive search.
+// checkPlan plans the cluster, runs the plan to its end with moves in random order, and compares the number of detours
+// with an exhaustive search.
 func (p pinnedCluster) checkPlan(t *rapid.T) {
 	sim := newSimulation(t, p.owners()...)
 	f, err := planfile.Parse([]byte(p.file()), "f.hcl")
@@ -191,20 +193,20 @@
 	}
 	require.True(t, sim.schedule().Finished)
 	require.Equal(t, uint64(1), sim.progress.Number, "the plan was recomputed")
-	seen := map[int]int{}
+	startOrder := map[int]int{}
 	for n, k := range sim.startedSteps {
-		seen[int(sim.progress.Steps[k].Range)-1] = n
+		startOrder[int(sim.progress.Steps[k].Range)-1] = n
 	}
 	for _, b := range p.precedences {
-		first, moved := seen[b[0]]
-		if then, both := seen[b[1]]; both && moved {
+		first, moved := startOrder[b[0]]
+		if then, both := startOrder[b[1]]; both && moved {
 			require.Less(t, first, then, "r%d before r%d", b[0], b[1])
 		}
 	}
 }
 
-// The planner finds an order if and only if there is one, with as few detours as any, and its steps, in whatever order
-// moves end, never exceed a capacity or limit, nor violate a precedence.
+// The planner finds an order if and only if one exists, with the least number of detours. Whatever the order in which
+// moves end, the steps never exceed a capacity or a limit and never violate a precedence.
 func TestNewPlan_FindsAnOrderIfThereIsOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { drawPinnedCluster(t, false).checkPlan(t) })
 }
--- a/cluster/rebalance/simulation_test.go
+++ b/cluster/rebalance/simulation_test.go
@@ -19,7 +19,8 @@
 	Helper()
 }
 
-// simulation is a raft log with its map of ranges and its plan, and members that carry out the actions.
+// simulation simulates a cluster: a raft log with the shard map and the plan's progress, a coordinator, and members
+// that carry out its actions.
 type simulation struct {
 	t            testingT
 	file         *planfile.File
@@ -29,7 +30,7 @@
 	leases       map[cluster.Resource]lease
 	rangeValue   func(cluster.RangeID) float64
 	gone         map[cluster.MemberID]bool
-	isBaseStart  map[cluster.KeyHash]bool // where ranges began before any was split
+	isBaseStart  map[cluster.KeyHash]bool // first hashes of the ranges before any split
 	startedSteps []int                    // steps in the order in which they started
 }
 
@@ -38,12 +39,12 @@
 	epoch cluster.Epoch
 }
 
-func (sim *simulation) Holder(task cluster.Resource) (cluster.LeaseHolder, bool) {
-	h, ok := sim.leases[task]
+func (sim *simulation) Holder(resource cluster.Resource) (cluster.LeaseHolder, bool) {
+	h, ok := sim.leases[resource]
 	return cluster.LeaseHolder{Session: 1, Member: h.owner, Epoch: h.epoch}, ok
 }
 
-// newSimulation returns a simulation with one range for each owner, of equal widths and all served.
+// newSimulation returns a simulation with one range for each owner. The ranges have equal widths and are all served.
 func newSimulation(t testingT, owners ...cluster.MemberID) *simulation {
 	sim := &simulation{
 		t:           t,
@@ -66,10 +67,10 @@
 	return sim
 }
 
-// hashesIn returns a selector of hashes that are all in range i of n equal ones.
+// hashesIn returns a selector of hashes that are all in range i of n equal ranges.
 func hashesIn(i, n int) string {
-	each := ^uint64(0) / uint64(n)
-	return fmt.Sprintf("hashes = [\"%d\", \"%d\"]", each*uint64(i)+each/4, each*uint64(i)+each/2)
+	width := ^uint64(0) / uint64(n)
+	return fmt.Sprintf("hashes = [\"%d\", \"%d\"]", width*uint64(i)+width/4, width*uint64(i)+width/2)
 }
 
 func (sim *simulation) propose(c cluster.Command) ([]byte, error) {
@@ -89,12 +90,12 @@
 	return answer
 }
 
-// changeCoordinator lets another coordinator go on, which knows nothing but the replicated state.
+// changeCoordinator replaces the coordinator by another, which knows only the replicated state.
 func (sim *simulation) changeCoordinator() {
-	kept, err := sim.progress.Snapshot()
+	snapshot, err := sim.progress.Snapshot()
 	require.NoError(sim.t, err)
 	sim.progress = &Progress{}
-	require.NoError(sim.t, sim.progress.Restore(kept))
+	require.NoError(sim.t, sim.progress.Restore(snapshot))
 }
 
 func (sim *simulation) adoptPlan(text string) error {
@@ -112,19 +113,19 @@
 }
 
 func (sim *simulation) schedule() Decisions {
-	seen := Observations{
+	observations := Observations{
 		SinceLastMove: sim.file.Limits.Cooldown,
 		RangeValue:    sim.rangeValue,
 		IsGone:        func(m cluster.MemberID) bool { return sim.gone[m] },
 	}
-	return sim.progress.Schedule(sim.file, sim.shards, seen)
+	return sim.progress.Schedule(sim.file, sim.shards, observations)
 }
 
-// applyActions does all that is due, and returns how many actions that were.
+// applyActions carries out all actions that are due, and returns their number.
 func (sim *simulation) applyActions() int {
 	sim.t.Helper()
-	out := sim.schedule()
-	for _, a := range out.Actions {
+	decisions := sim.schedule()
+	for _, a := range decisions.Actions {
 		switch a.Kind {
 		case ActionStart:
 			var id shardmap.MoveID
@@ -145,14 +146,14 @@
 			require.NoError(sim.t, sim.adoptPlan(string(sim.progress.Text)))
 		}
 	}
-	return len(out.Actions)
+	return len(decisions.Actions)
 }
 
-// confirmOwners has the owners of ranges that were split off confirm them.
+// confirmOwners makes the owners of new split-off ranges confirm their ownership.
 func (sim *simulation) confirmOwners() {
 	for _, r := range sim.shards.Ranges {
-		if task := cluster.RangeOwnerResource(r.ID); r.Status == shardmap.OwnerAssigned {
-			sim.leases[task] = lease{r.Owner, 1}
+		if resource := cluster.RangeOwnerResource(r.ID); r.Status == shardmap.OwnerAssigned {
+			sim.leases[resource] = lease{r.Owner, 1}
 			sim.mustPropose(shardmap.ConfirmOwner(r.ID, r.Owner, 1, sim.shards.Version))
 		}
 	}
@@ -168,16 +169,16 @@
 	return all
 }
 
-// advanceMove takes a move one step further.
+// advanceMove advances a range's open move by one step.
 func (sim *simulation) advanceMove(r shardmap.Range) {
 	sim.t.Helper()
-	v, task := r.Move, cluster.RangeOwnerResource(r.ID)
+	v, resource := r.Move, cluster.RangeOwnerResource(r.ID)
 	switch {
 	case v.Step < shardmap.StepHandoff:
 		sim.mustPropose(shardmap.Coordinator(1).AdvanceMove(v.ID, v.Step+1))
 	case v.Step == shardmap.StepHandoff:
-		sim.leases[task] = lease{v.To, sim.leases[task].epoch + 1}
-		sim.mustPropose(shardmap.SwitchOwner(v.ID, r.ID, v.To, sim.leases[task].epoch))
+		sim.leases[resource] = lease{v.To, sim.leases[resource].epoch + 1}
+		sim.mustPropose(shardmap.SwitchOwner(v.ID, r.ID, v.To, sim.leases[resource].epoch))
 	case !v.TargetCleared:
 		sim.mustPropose(shardmap.ClearMove(v.ID, v.To))
 	default:
@@ -185,23 +186,23 @@
 	}
 }
 
-// requireLimits checks the limits and capacities, which have to hold at each moment.
+// requireLimits checks the limits and capacities, which have to hold at all times.
 func (sim *simulation) requireLimits() {
 	sim.t.Helper()
-	has, moves, zones, value := map[cluster.MemberID]int{}, map[cluster.MemberID]int{}, map[string]int{}, 0.0
-	b := sim.file.Limits
+	owned, moves, zones, value := map[cluster.MemberID]int{}, map[cluster.MemberID]int{}, map[string]int{}, 0.0
+	limits := sim.file.Limits
 	for _, r := range sim.shards.Ranges {
-		counts := 0
+		capacityUsed := 0
 		if sim.isBaseStart[r.From] { // split-off ranges use no capacity
-			counts = 1
+			capacityUsed = 1
 		}
-		has[r.Owner] += counts
+		owned[r.Owner] += capacityUsed
 		if v := r.Move; v.IsOpen() {
 			other := v.To
 			if r.Owner == v.To {
 				other = v.From
 			}
-			has[other] += counts
+			owned[other] += capacityUsed
 			moves[v.From]++
 			moves[v.To]++
 			from, to := sim.file.FindMember(v.From).Zone, sim.file.FindMember(v.To).Zone
@@ -213,24 +214,24 @@
 			}
 		}
 	}
-	require.LessOrEqual(sim.t, len(sim.openMoves()), b.ConcurrentMoves, "moves_at_once")
+	require.LessOrEqual(sim.t, len(sim.openMoves()), limits.ConcurrentMoves, "moves_at_once")
 	for _, m := range sim.file.Members {
-		require.True(sim.t, b.MovesPerMember == 0 || moves[m.ID] <= b.MovesPerMember, "per_member of %s", m.ID)
-		require.True(sim.t, b.MovesPerZone == 0 || zones[m.Zone] <= b.MovesPerZone, "per_zone of %s", m.Zone)
+		require.True(sim.t, limits.MovesPerMember == 0 || moves[m.ID] <= limits.MovesPerMember, "per_member of %s", m.ID)
+		require.True(sim.t, limits.MovesPerZone == 0 || zones[m.Zone] <= limits.MovesPerZone, "per_zone of %s", m.Zone)
 		if moves[m.ID] > 0 && m.Capacity > 0 {
-			out := 0 // a member above its capacity from the start may give ranges away
+			incoming := 0 // a member above its capacity from the start may be the source of moves
 			for _, r := range sim.openMoves() {
 				if r.Move.To == m.ID && sim.isBaseStart[r.From] {
-					out++
+					incoming++
 				}
 			}
-			require.True(sim.t, out == 0 || has[m.ID] <= m.Capacity, "room of %s: %d of %d", m.ID, has[m.ID], m.Capacity)
+			require.True(sim.t, incoming == 0 || owned[m.ID] <= m.Capacity, "room of %s: %d of %d", m.ID, owned[m.ID], m.Capacity)
 		}
 	}
-	require.True(sim.t, b.ValueInFlight == 0 || value <= b.ValueInFlight, "value_under_way")
+	require.True(sim.t, limits.ValueInFlight == 0 || value <= limits.ValueInFlight, "value_under_way")
 }
 
-// runToEnd goes on until nothing is left to do, with the moves in random order.
+// runToEnd runs the plan until nothing is left to do. Moves advance in random order.
 func (sim *simulation) runToEnd(t *rapid.T) {
 	for range 10_000 {
 		for sim.applyActions() > 0 {
@@ -240,10 +241,10 @@
 		if len(open) == 0 {
 			return
 		}
-		sim.advanceMove(open[rapid.IntRange(0, len(open)-1).Draw(t, "goes on")])
+		sim.advanceMove(open[rapid.IntRange(0, len(open)-1).Draw(t, "advanced move")])
 		sim.requireLimits()
 	}
-	require.Fail(sim.t, "it doesn't end")
+	require.Fail(sim.t, "the plan doesn't end within 10000 rounds")
 }
 
 func (sim *simulation) ownerOf(i int) cluster.MemberID { return sim.shards.Ranges[i].Owner }
