--- a/cluster/rebalance/assignment.go
+++ b/cluster/rebalance/assignment.go
@@ -39,8 +39,8 @@
 	exclusionNodes map[ruleAtMember]int // each lets one range through to its member
 }
 
-// rangeGroup is the ranges with the same owner and the same allowed members. They share a node, as only the number of
-// ranges that move is open: those with the fewest keys move first.
+// rangeGroup is the ranges with the same owner and the same allowed members. They share a node, since
+// the network only has to decide how many of them move: those with the fewest keys move first.
 type rangeGroup struct {
 	ranges     []int // sorted by weight
 	node       int
--- a/cluster/rebalance/eulertrail.go
+++ b/cluster/rebalance/eulertrail.go
@@ -15,7 +15,7 @@
 
 // components divides moves into connected components: moves that share a slot are in the same one (union-find).
 func (s *sequencer) components(moves []int) [][]int {
-	parent := make([]int, len(s.slotIDs))
+	parent := make([]int, len(s.slotMembers))
 	for i := range parent {
 		parent[i] = i
 	}
@@ -212,7 +212,7 @@
 
 // freeAfter returns, by slot, the number of moves of the sequence after which it first has a vacancy, or neverFree.
 func (s *sequencer) freeAfter() []int {
-	after, free := make([]int, len(s.slotIDs)), slices.Clone(s.free)
+	after, free := make([]int, len(s.slotMembers)), slices.Clone(s.free)
 	for slot := range after {
 		after[slot] = neverFree
 		if free[slot] > 0 {
--- a/cluster/rebalance/infeasible.go
+++ b/cluster/rebalance/infeasible.go
@@ -8,9 +8,9 @@
 	"rowanlink/cluster/rebalance/planfile"
 )
 
-// infeasibleError explains why the ranges can't all be placed. It names the ranges on the source's side of a minimum
-// cut of the network, the full members on that side, which are the only ones that these ranges may go to, and the rules
-// that select the ranges or exclude members.
+// infeasibleError explains why the ranges can't all be placed. It states the number of ranges on the source's side of a
+// minimum cut of the network, the full members on that side, which are the only ones that these ranges may go to, and
+// the rules that select the ranges or exclude members.
 func (a *assignment) infeasibleError() error {
 	reached := a.net.SourceSide()
 	ranges := a.reachedRanges(reached)
@@ -27,7 +27,7 @@
 		case planfile.Drain:
 			reasons = append(reasons, fmt.Sprintf("%q leaves by line %d", r.Member, r.Line))
 		case planfile.Dedicated:
-			reasons = append(reasons, fmt.Sprintf("%q is dedicated by line %d", r.Member, r.Line))
+			reasons = append(reasons, fmt.Sprintf("%q is alone by line %d", r.Member, r.Line))
 		default:
 			continue
 		}
--- a/cluster/rebalance/planfile/file.go
+++ b/cluster/rebalance/planfile/file.go
@@ -85,9 +85,9 @@
 	Line            int        // 0: the file states no limits
 }
 
-// StopConditions is the degradation at which the plan stops. Rejected, DeadLettered and Late limit the share of webhooks
-// with that outcome in the ranges that move: how far it may rise above the share there before the moves. A limit below 0
-// is not checked.
+// StopConditions is the degradation at which the plan stops. Rejected, DeadLettered and Late limit the share of
+// webhooks with that outcome in the ranges that move: how far it may rise above the share there before the moves. A
+// limit below 0 is not checked.
 type StopConditions struct {
 	Rejected, DeadLettered, Late float64
 	Unhealthy                    bool // stop when a destination becomes unhealthy
--- a/cluster/rebalance/planfile/parse.go
+++ b/cluster/rebalance/planfile/parse.go
@@ -52,7 +52,7 @@
 // nesting would exhaust its stack.
 func checkSize(text []byte, name string) error {
 	if len(text) > MaxBytes {
-		return fmt.Errorf("%s:1: %d bytes; it may have %d", name, len(text), MaxBytes)
+		return fmt.Errorf("%s:1: the file has %d bytes; the limit is %d", name, len(text), MaxBytes)
 	}
 	depth := 0
 	tokens, _ := hclsyntax.LexConfig(text, name, hcl.InitialPos)
--- a/cluster/rebalance/progress.go
+++ b/cluster/rebalance/progress.go
@@ -21,7 +21,7 @@
 // The states of steps.
 const (
 	Pending    StepState = iota
-	Started              // its move is in the map of ranges
+	Started              // its move is in the shard map
 	Done                 // the range is at the step's target and both sides have cleared the move
 	RolledBack           // its move was rolled back; it may start again
 )
@@ -31,7 +31,7 @@
 // the current map, in which ranges that have switched are at their targets.
 type Progress struct {
 	Number     uint64          `cbor:"1,keyasint"` // of the plan, from 1; 0: no plan was adopted yet
-	Name       string          `cbor:"2,keyasint"` // names the file in errors
+	Name       string          `cbor:"2,keyasint"` // name of the file, for errors
 	Text       []byte          `cbor:"3,keyasint"` // of the file
 	Version    cluster.Version `cbor:"4,keyasint"` // of the map that the steps start from
 	Steps      []Step          `cbor:"5,keyasint"`
--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -83,7 +83,7 @@
 		after.Ranges = append(after.Ranges, parts...)
 	}
 	if len(after.Ranges) > planfile.MaxRanges {
-		return nil, nil, f.Errorf(1, "%d ranges, once destinations are split off; there may be %d", len(after.Ranges),
+		return nil, nil, f.Errorf(1, "%d ranges after destinations are split off; the limit is %d", len(after.Ranges),
 			planfile.MaxRanges)
 	}
 	return splits, after, nil
--- a/cluster/rebalance/replacement_test.go
+++ b/cluster/rebalance/replacement_test.go
@@ -13,9 +13,9 @@
 	"rowanlink/cluster/shardmap"
 )
 
-// Another plan may replace the running one at any moment, and the coordinator may change. Ranges that have switched stay,
-// moves to the range's target in the new plan continue, all others are rolled back, and capacities and limits hold at
-// all times.
+// Another plan may replace the running one at any moment, and the coordinator may change. Ranges that have switched
+// stay, moves to the range's target in the new plan continue, all others are rolled back, and capacities and limits
+// hold at all times.
 func TestSchedule_AnotherPlanTakesOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPinnedCluster(t, false)
--- a/cluster/rebalance/scheduler.go
+++ b/cluster/rebalance/scheduler.go
@@ -81,9 +81,9 @@
 	inFlight  inFlight
 }
 
-// Schedule returns what has to be done now by the raft log, the map of ranges and what the coordinator observes. f is
-// the running plan's file, as File returns it. Schedule changes nothing, so that the next coordinator resumes from the
-// same state.
+// Schedule computes what has to be done now from the plan's progress, the shard map and the coordinator's observations.
+// f is the running plan's file, as File returns it. Schedule changes nothing, so that the next coordinator resumes from
+// the same state.
 func (p *Progress) Schedule(f *planfile.File, m *shardmap.Map, o Observations) Decisions {
 	if p.Number == 0 {
 		return Decisions{Finished: true}
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -28,8 +28,8 @@
 // such a member's index is also its slot.
 type sequencer struct {
 	*problem
-	target  []int              // by range, the member where it is placed
-	slotIDs []cluster.MemberID // by slot, its member, which may not be in the file
+	target      []int              // by range, the member where it is placed
+	slotMembers []cluster.MemberID // by slot, its member, which may not be in the file
 
 	inFlight []move // moves that have begun; they need no order
 	moves    []move // moves to order
@@ -95,9 +95,9 @@
 	if k, isKnown := slots[id]; isKnown {
 		return k
 	}
-	k := len(s.slotIDs)
+	k := len(s.slotMembers)
 	slots[id] = k
-	s.slotIDs = append(s.slotIDs, id)
+	s.slotMembers = append(s.slotMembers, id)
 	capacity := unlimitedCapacity
 	if k < len(s.members) && s.members[k].Capacity > 0 {
 		capacity = s.members[k].Capacity
@@ -176,9 +176,9 @@
 	return remaining
 }
 
-// isDue reports whether a move may start as far as precedences are concerned: no move by a rule that precedes its rules
-// remains.
-func (s *sequencer) isDue(move int, remaining []int) bool {
+// precedencesAllow reports whether the precedences allow a move to start: no move by a rule that precedes one of its
+// rules remains.
+func (s *sequencer) precedencesAllow(move int, remaining []int) bool {
 	for _, r := range s.moves[move].rules {
 		for _, preceding := range s.precedingByRule[r] {
 			if remaining[preceding] > 0 {
@@ -209,7 +209,7 @@
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
 		for k, v := range s.moves {
-			if isDone[k] || !s.isDue(k, remaining) {
+			if isDone[k] || !s.precedencesAllow(k, remaining) {
 				continue
 			}
 			isDone[k], hasChanged = true, true
@@ -225,7 +225,7 @@
 			continue
 		}
 		line = s.blockingPrecedence(k, remaining).Line
-		waiting = append(waiting, fmt.Sprintf("%s by line %d", s.describeRange(v.rangeIndex), line))
+		waiting = append(waiting, fmt.Sprintf("%s (blocked by line %d)", s.describeRange(v.rangeIndex), line))
 	}
 	if waiting == nil {
 		return nil
@@ -240,7 +240,7 @@
 	for _, k := range moves {
 		v := s.moves[k]
 		for _, slot := range []int{v.from, v.to} {
-			text := fmt.Sprintf("%q (%s)", s.slotIDs[slot], s.describeCapacity(slot))
+			text := fmt.Sprintf("%q (%s)", s.slotMembers[slot], s.describeCapacity(slot))
 			if !slices.Contains(members, text) {
 				members = append(members, text)
 			}
--- a/cluster/rebalance/sequencesearch.go
+++ b/cluster/rebalance/sequencesearch.go
@@ -118,7 +118,7 @@
 // tryMoves continues with each move to its target that can start.
 func (s *sequenceSearch) tryMoves() bool {
 	for _, k := range s.byUrgency {
-		canStart := !s.isDone[k] && s.free[s.moves[k].to] > 0 && s.isDue(k, s.remaining)
+		canStart := !s.isDone[k] && s.free[s.moves[k].to] > 0 && s.precedencesAllow(k, s.remaining)
 		if canStart && s.try(transition{k, noMember}) {
 			return true
 		}
@@ -129,7 +129,7 @@
 // tryDetours continues with each detour that can start.
 func (s *sequenceSearch) tryDetours() bool {
 	for _, k := range s.byUrgency {
-		if s.detoursLeft == 0 || s.isDone[k] || s.detour[k] >= 0 || !s.isDue(k, s.remaining) {
+		if s.detoursLeft == 0 || s.isDone[k] || s.detour[k] >= 0 || !s.precedencesAllow(k, s.remaining) {
 			continue
 		}
 		for m := range s.members {
@@ -262,18 +262,18 @@
 	}
 	for _, k := range s.byUrgency {
 		v := s.moves[k]
-		if s.isDone[k] || !s.isDue(k, s.remaining) {
+		if s.isDone[k] || !s.precedencesAllow(k, s.remaining) {
 			continue
 		}
 		for _, other := range s.byUrgency { // a move that would free the capacity if no precedence made it wait
 			w := s.moves[other]
-			if s.isDone[other] || w.from != v.to || s.isDue(other, s.remaining) {
+			if s.isDone[other] || w.from != v.to || s.precedencesAllow(other, s.remaining) {
 				continue
 			}
 			return s.file.Errorf(s.blockingPrecedence(other, s.remaining).Line,
 				"there is no order of moves%s: %s is blocked by this line, and %q has no capacity (%s) for %s "+
 					"until it has left",
-				searched, s.describeRange(w.rangeIndex), s.slotIDs[v.to], s.describeCapacity(v.to),
+				searched, s.describeRange(w.rangeIndex), s.slotMembers[v.to], s.describeCapacity(v.to),
 				s.describeRange(v.rangeIndex))
 		}
 	}
--- a/cluster/rebalance/steps.go
+++ b/cluster/rebalance/steps.go
@@ -34,11 +34,11 @@
 		sequencer: s,
 		lastStep:  map[int]int{},
 		ruleLevel: make([]int, len(s.file.Rules)),
-		vacancies: make([][]vacancy, len(s.slotIDs)),
-		excess:    make([]int, len(s.slotIDs)),
-		relieving: make([][]int, len(s.slotIDs)),
+		vacancies: make([][]vacancy, len(s.slotMembers)),
+		excess:    make([]int, len(s.slotMembers)),
+		relieving: make([][]int, len(s.slotMembers)),
 	}
-	for slot := range s.slotIDs {
+	for slot := range s.slotMembers {
 		b.excess[slot] = max(0, -s.freeNow[slot])
 		if b.isLimited(slot) && s.freeNow[slot] > 0 {
 			b.vacancies[slot] = make([]vacancy, s.freeNow[slot])
@@ -73,7 +73,7 @@
 }
 
 func (b *stepBuilder) add(v move) int {
-	s := Step{From: b.slotIDs[v.from], To: b.slotIDs[v.to], Kind: v.kind, Move: v.id, Rules: v.rules}
+	s := Step{From: b.slotMembers[v.from], To: b.slotMembers[v.to], Kind: v.kind, Move: v.id, Rules: v.rules}
 	if v.rangeIndex != noRange {
 		s.Range, s.Keys = b.ranges[v.rangeIndex].ID, b.keyCounts[v.rangeIndex]
 	}
