--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -26,8 +26,8 @@
 // destinationCount holds the outcomes of one destination, counted from the start of the process: the current counts,
 // and those when the current window and the one before it began.
 type destinationCount struct {
-	hash                                  cluster.KeyHash
-	current, windowStart, lastWindowStart Outcomes
+	hash                                      cluster.KeyHash
+	current, windowStart, previousWindowStart Outcomes
 }
 
 // moveRecord is a monitored move, with the state when its impact began to be counted.
@@ -133,7 +133,7 @@
 	}
 	i.windowEnd = now + i.windowLength
 	for _, c := range i.destinations {
-		c.lastWindowStart, c.windowStart = c.windowStart, c.current
+		c.previousWindowStart, c.windowStart = c.windowStart, c.current
 	}
 }
 
@@ -151,15 +151,15 @@
 
 // monitor returns the record of a move. If the move is new, its impact counts from now on, and its baseline is the
 // outcomes in its range since the window before the current one began.
-func (i *ImpactMeter) monitor(what MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
+func (i *ImpactMeter) monitor(monitored MonitoredMove, r shardmap.Range, unhealthy UnhealthyFunc,
 	now api.Micros) *moveRecord {
-	move := i.moves[what.Move]
+	move := i.moves[monitored.Move]
 	if move == nil {
-		move = &moveRecord{MonitoredMove: what}
-		i.moves[what.Move] = move
+		move = &moveRecord{MonitoredMove: monitored}
+		i.moves[monitored.Move] = move
 		for _, c := range i.destinations {
 			if move.contains(c) {
-				move.baseline = move.baseline.add(c.current.since(c.lastWindowStart))
+				move.baseline = move.baseline.add(c.current.since(c.previousWindowStart))
 			}
 		}
 		i.restart(move, r, unhealthy)
@@ -186,9 +186,9 @@
 func (i *ImpactMeter) Report(number uint64, moves []MonitoredMove, m *shardmap.Map, unhealthy UnhealthyFunc,
 	now api.Micros) Report {
 	report := Report{Incarnation: i.incarnation}
-	for _, what := range moves[:min(len(moves), maxMonitoredMoves)] { // a request may hold any number of moves
-		r, _ := m.RangeByID(what.Range)
-		move := i.monitor(what, r, unhealthy, now)
+	for _, monitored := range moves[:min(len(moves), maxMonitoredMoves)] { // a request may hold any number of moves
+		r, _ := m.RangeByID(monitored.Range)
+		move := i.monitor(monitored, r, unhealthy, now)
 		if move.number != number && move.number != 0 {
 			i.restart(move, r, unhealthy)
 		}
@@ -200,6 +200,7 @@
 	return report
 }
 
+// rangeImpact returns the impact of a move so far, with the destinations in its range that are unhealthy now.
 func (i *ImpactMeter) rangeImpact(move *moveRecord, unhealthy []api.DestinationID) RangeImpact {
 	impact := RangeImpact{
 		Move:            move.Move,
--- a/cluster/rebalance/placement.go
+++ b/cluster/rebalance/placement.go
@@ -152,15 +152,15 @@
 
 // forbid returns a copy of the forbidden placements with one more, or one for each member of the zone if the rule is by
 // zone.
-func (p *problem) forbid(forbidden map[placement]bool, rule int, what placement) map[placement]bool {
+func (p *problem) forbid(forbidden map[placement]bool, rule int, added placement) map[placement]bool {
 	next := maps.Clone(forbidden)
 	if next == nil {
 		next = map[placement]bool{}
 	}
 	for m := range p.members {
-		isSameZone := p.members[m].Zone == p.members[what.member].Zone
-		if m == what.member || p.file.Rules[rule].ByZone && isSameZone {
-			next[placement{what.rangeIndex, m}] = true
+		isSameZone := p.members[m].Zone == p.members[added.member].Zone
+		if m == added.member || p.file.Rules[rule].ByZone && isSameZone {
+			next[placement{added.rangeIndex, m}] = true
 		}
 	}
 	return next
--- a/cluster/rebalance/precedence.go
+++ b/cluster/rebalance/precedence.go
@@ -8,7 +8,8 @@
 )
 
 // moveRules returns the rules that the move of a range off a member counts for: the rules that select the range and the
-// drain of the member, without those that another of them precedes.
+// drain of the member, without those that another of them precedes. from is the index of the member, or any higher
+// number for a member that the file doesn't have.
 func (p *problem) moveRules(i, from int) []int {
 	rules := slices.Clone(p.constraints[i].rules)
 	if from < len(p.members) && !p.stays[from] {
--- a/cluster/rebalance/problem.go
+++ b/cluster/rebalance/problem.go
@@ -196,9 +196,9 @@
 func (p *problem) constrain(i, rule int) error {
 	r, c := &p.file.Rules[rule], &p.constraints[i]
 	c.rules = append(c.rules, rule)
-	conflict := func(other *planfile.Rule, problem string) error {
+	conflict := func(other *planfile.Rule, contradiction string) error {
 		return p.file.Errorf(r.Line, "%s %q and %s %q (line %d) %s: %s", r.Kind, r.Name, other.Kind, other.Name,
-			other.Line, problem, p.describeRange(i, r, other))
+			other.Line, contradiction, p.describeRange(i, r, other))
 	}
 	switch r.Kind {
 	case planfile.Pin, planfile.Dedicated:
--- a/cluster/rebalance/quota.go
+++ b/cluster/rebalance/quota.go
@@ -143,7 +143,7 @@
 	}
 	return func(m int) float64 {
 		if w := p.members[m].Weight; w > 0 {
-			return w * 1e9
+			return w * 1e9 // so that members of weight 0 get next to nothing until the others are at capacity
 		}
 		return 1
 	}
--- a/cluster/rebalance/startmoves.go
+++ b/cluster/rebalance/startmoves.go
@@ -18,7 +18,7 @@
 
 // startSteps starts all steps that may start, in order. The plan fixes which step frees the capacity that a step uses,
 // so a step that may start never takes capacity from an earlier one that is blocked. Limits on all moves are reserved:
-// once an earlier step is blocked by one, no later step starts, so that the earlier one can't be overtaken forever.
+// once an earlier move is blocked by one, no later move starts, so that the earlier one can't be overtaken forever.
 func (s *scheduler) startSteps(m *shardmap.Map) {
 	s.countInFlight(m)
 	s.countRemaining()
