--- a/cluster/rebalance/mincostflow/network.go
+++ b/cluster/rebalance/mincostflow/network.go
@@ -4,7 +4,7 @@
 // The algorithm is that of successive shortest paths with node potentials (Edmonds and Karp 1972; Ahuja, Magnanti and
 // Orlin, "Network Flows", 1993, section 9.7, and 14.5 for convex costs), which is exact for such costs. Between two
 // searches for shortest paths, units are sent along all paths of that length, as in Dinic's algorithm. gonum has no
-// minimum-cost flow.
+// such algorithm.
 package mincostflow
 
 import (
--- a/cluster/rebalance/planfile/precedence.go
+++ b/cluster/rebalance/planfile/precedence.go
@@ -56,7 +56,7 @@
 const (
 	unvisited visitState = iota
 	onPath               // on the present path
-	visited              // and all its successors; on no cycle
+	visited              // with all its successors; it is on no cycle
 )
 
 // cycleSearch is a depth-first search for a cycle of precedences.
--- a/cluster/rebalance/startmoves.go
+++ b/cluster/rebalance/startmoves.go
@@ -222,7 +222,7 @@
 }
 
 // exceedsValueByItself reports whether a step would exceed the limit on value even if nothing else were in flight. Such
-// a step may stay blocked for long, so that it reserves nothing and later steps may start.
+// a step may stay blocked for long, so it reserves nothing and later steps may start.
 func (s *scheduler) exceedsValueByItself(v Step) bool {
 	limit := s.file.Limits.ValueInFlight
 	return limit > 0 && s.value(v.Range) > limit
