--- a/serving/agent/addressselection.go
+++ b/serving/agent/addressselection.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// maxAddresses is the number of addresses that a client uses of one answer.
+	// maxAddresses is the most addresses in one answer; clients don't use more.
 	maxAddresses = 64
-	// minZoneProxies is the number of proxies from which a zone serves its own clients alone: with one, its loss would
-	// leave them no address until their next look-up.
+	// minZoneProxies is the least number of ready proxies in a zone for which its clients get only these. With a single
+	// one, its loss would leave the clients without an address until their next look-up.
 	minZoneProxies = 2
 )
 
@@ -20,7 +20,8 @@
 	Region string
 }
 
-// resolve completes and checks a location by the known zones. Unknown parts become empty, which means "any".
+// resolve replaces the region by that of the zone if the zone is known. An unknown zone or region becomes empty, which
+// means "any".
 func (l clientLocation) resolve(regions map[string]string) clientLocation {
 	region, isKnown := regions[l.Zone]
 	if isKnown {
@@ -35,8 +36,9 @@
 }
 
 // chooseAddresses selects the addresses of the proxies that a client should use: those of its zone if there are at least
-// minZoneProxies, else those of its region, else all. The region takes precedence over the number of proxies because
-// the client's own region may always serve it, while another may be barred. The order is random.
+// minZoneProxies, else those of its region, else all. A region with only one
+// proxy still precedes other regions, because a client may always be served in its own region, while other regions may not
+// be allowed to serve it. The order is random.
 func chooseAddresses(members []state.Member, client clientLocation, random *rand.Rand) []string {
 	var inZone, inRegion, anywhere []string
 	for _, member := range members {
@@ -62,7 +64,7 @@
 	return chosen[:min(len(chosen), maxAddresses)]
 }
 
-// isReadyProxy reports whether the member is an agent whose proxy takes requests at a known address.
+// isReadyProxy reports whether the member is an agent whose proxy is ready and accepts requests at a known address.
 func isReadyProxy(member state.Member) bool {
 	return member.Role == state.RoleAgent && member.State == state.MemberReady && member.ProxyAddress != ""
 }
--- a/serving/agent/addressselection_test.go
+++ b/serving/agent/addressselection_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/serving/state"
 )
 
-// testRegions maps zones to regions: two regions, one with two zones.
+// testRegions maps zones to regions. Region north has two zones, and south has one.
 var testRegions = map[string]string{"n1": "north", "n2": "north", "s1": "south"}
 
 func newProxyMember(zone string, number int, memberState state.MemberState) state.Member {
@@ -29,7 +29,7 @@
 
 func TestChooseAddresses_PrefersTheClientsZoneAndRegion(t *testing.T) {
 	ready := state.MemberReady
-	two := []state.Member{newProxyMember("n1", 1, ready), newProxyMember("n1", 2, ready), newProxyMember("n2", 1, ready),
+	fourProxies := []state.Member{newProxyMember("n1", 1, ready), newProxyMember("n1", 2, ready), newProxyMember("n2", 1, ready),
 		newProxyMember("s1", 1, ready)}
 	all := []string{"n1-1:80", "n1-2:80", "n2-1:80", "s1-1:80"}
 	for _, test := range []struct {
@@ -37,14 +37,14 @@
 		live               []state.Member
 		want               []string
 	}{
-		{"enough in the zone", "n1", "north", two, all[:2]},
-		{"one in the zone: those of the region", "n2", "north", two, all[:3]},
-		{"one in the region precedes others", "s1", "south", two, all[3:]},
-		{"none in the region", "s1", "south", two[:3], all[:3]},
-		{"unknown zone of a known region", "x", "north", two, all[:3]},
-		{"unknown zone and region", "x", "y", two, all},
-		{"no location given", "", "", two, all},
-		{"the zone's region precedes the region given", "s1", "north", two, all[3:]},
+		{"enough in the zone", "n1", "north", fourProxies, all[:2]},
+		{"one in the zone: those of the region", "n2", "north", fourProxies, all[:3]},
+		{"one in the region precedes those of other regions", "s1", "south", fourProxies, all[3:]},
+		{"none in the region", "s1", "south", fourProxies[:3], all[:3]},
+		{"unknown zone of a known region", "x", "north", fourProxies, all[:3]},
+		{"unknown zone and region", "x", "y", fourProxies, all},
+		{"no location given", "", "", fourProxies, all},
+		{"the region of a known zone replaces the given region", "s1", "north", fourProxies, all[3:]},
 		{"no members", "n1", "north", nil, nil},
 	} {
 		assert.ElementsMatch(t, test.want, sortedAddresses(test.live, test.zone, test.region), test.name)
@@ -61,8 +61,8 @@
 	assert.Equal(t, []string{"n1-4:80"}, sortedAddresses(live, "n1", "north"))
 }
 
-// TestChooseAddresses_Invariants: no address twice, at most maxAddresses, none of a member that isn't ready, and none of
-// another region while the client's own has one.
+// TestChooseAddresses_Invariants checks that an answer has no address twice, at most maxAddresses, none of a member that
+// isn't ready, none of another region while the client's own has a ready proxy, and at least one if any proxy is ready.
 func TestChooseAddresses_Invariants(t *testing.T) {
 	zones := []string{"n1", "n2", "s1"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/serving/agent/agent.go
+++ b/serving/agent/agent.go
@@ -20,14 +20,16 @@
 const (
 	// tickInterval is the time between two checks of the proxy's liveness and of the proxy counts.
 	tickInterval = 500 * time.Millisecond
-	// shutdownTickInterval replaces tickInterval while the agent waits for its proxy to exit.
+	// shutdownTickInterval replaces tickInterval while the agent shuts down and waits for its proxy to exit.
 	shutdownTickInterval = 100 * time.Millisecond
 	// leaveTimeout bounds the announcement of the agent's departure to other members.
 	leaveTimeout = 250 * time.Millisecond
-	// directoryStartDelay is how long the directory of a starting agent that knows no peers returns no addresses.
+	// directoryStartDelay is how long after the agent's start its directory returns no addresses, unless the agent learns
+	// of a peer sooner.
 	directoryStartDelay = time.Second
-	// syncDelay is the age from which an agent that has peers regards its knowledge as complete. Members that were
-	// started at the same time receive the endpoints only by their next heartbeats.
+	// syncDelay is how long after its start an agent that has peers regards its tables as complete. It isn't sooner
+	// because its first peers may have started at the same time: such members receive the endpoints only with the
+	// endpoints' next heartbeats.
 	syncDelay = 5 * time.Second
 )
 
@@ -45,7 +47,7 @@
 	Leave(context.Context) error
 }
 
-// agent connects its state with the other members and with the proxy.
+// agent passes what gossip delivers to its proxy, and announces the proxy's state to the other members.
 type agent struct {
 	settings   *settings.Process
 	log        *zerolog.Logger
@@ -54,10 +56,10 @@
 	started    time.Time
 
 	announceMutex sync.Mutex
-	announced     announcement
+	announced     announcement // the last one
 }
 
-// announcement is what the agent has last announced of its proxy to other members.
+// announcement is what the agent announces to other members about its proxy.
 type announcement struct {
 	state         state.MemberState
 	clientAddress string
@@ -65,7 +67,7 @@
 
 func newAgent(processSettings *settings.Process, log *zerolog.Logger, members memberService, table endpointTable) *agent {
 	now := time.Now()
-	incarnation := rand.Uint64() | 1 // never zero: a zero cursor belongs to no agent
+	incarnation := rand.Uint64() | 1 // never zero, since the zero cursor must match no agent
 	a := &agent{
 		settings: processSettings,
 		log:      log,
@@ -73,15 +75,15 @@
 		started:  now,
 	}
 	a.stateActor = actor.Start(&agentState{
-		updates: newPublisher(incarnation, table),
-		started: now,
+		publisher: newPublisher(incarnation, table),
+		started:   now,
 	})
 	a.subscribeToGossip()
 	return a
 }
 
-// run keeps the announcements and the agent's state up to date until the context ends and the proxy has exited or the time for
-// that is over.
+// run ticks until the agent has shut down. The shutdown begins when the context ends, and is complete when the proxy has
+// exited or the shutdown deadline has passed.
 func (a *agent) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -101,11 +103,12 @@
 	}
 }
 
-// tick applies what depends on time and reports whether the agent may stop.
+// tick updates the state that depends on the time, announces the proxy's state if it has changed, and reports whether the
+// agent may stop.
 func (a *agent) tick() (stopped bool) {
 	proxies, synced := a.members.CountProxies(), a.isSynced()
 	stopped, _ = actor.Call(a.stateActor, func(s *agentState) bool {
-		if synced && !s.updates.synced {
+		if synced && !s.publisher.synced {
 			event.AgentSynced.Log(a.log).Send()
 		}
 		s.tick(time.Now(), proxies, synced)
@@ -139,7 +142,8 @@
 	a.announced = current
 }
 
-// announceLeave announces to the other members that this one leaves.
+// announceLeave announces to the other members that this one leaves. An error is logged: members that weren't reached
+// get the departure by gossip or detect it.
 func (a *agent) announceLeave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -148,19 +152,19 @@
 	}
 }
 
-// hasPeers reports whether another member is known. The first peer transfers all that it knows.
+// hasPeers reports whether another live member is known. One peer is enough: it transfers all of its tables.
 func (a *agent) hasPeers() bool { return len(a.members.Members()) > 1 }
 
-// isDirectoryReady reports whether the directory may give addresses: the agent knows peers or has waited for them for
-// directoryStartDelay.
+// isDirectoryReady reports whether the directory may return addresses: the agent knows peers, or has waited
+// directoryStartDelay for them.
 func (a *agent) isDirectoryReady() bool {
 	return time.Since(a.started) >= directoryStartDelay || a.hasPeers()
 }
 
-// isSynced reports whether the agent's knowledge counts as complete.
+// isSynced reports whether the agent's tables count as complete.
 func (a *agent) isSynced() bool { return time.Since(a.started) >= syncDelay && a.hasPeers() }
 
-// lookupHandler returns the HTTP handler of clients' look-ups.
+// lookupHandler returns the HTTP handler that serves clients' look-ups.
 func (a *agent) lookupHandler() *lookupHandler {
 	return &lookupHandler{
 		members: a.members.Members,
--- a/serving/agent/agent_test.go
+++ b/serving/agent/agent_test.go
@@ -36,7 +36,7 @@
 		a.members.deliver(t, gossip.TableLoads, state.Load{EndpointID: "e", Queued: 3, Measurement: 1})
 		got := <-second
 		require.NoError(t, got.err)
-		assert.Equal(t, coalesceDelay, got.elapsed, "changes are batched")
+		assert.Equal(t, coalesceDelay, got.elapsed, "changes that arrive together are sent in one response")
 		assert.Equal(t, uint64(3), got.response.Endpoints[0].Sequence)
 		assert.Len(t, got.response.Loads, 1)
 		assert.Nil(t, got.response.Record)
@@ -76,7 +76,7 @@
 		assert.False(t, got.response.Complete)
 		stop()
 		synctest.Wait()
-		time.Sleep(time.Minute) // of the bubble's clock
+		time.Sleep(time.Minute) // simulated time: lets the agent's goroutines end
 		a.stateActor.Stop()
 	})
 }
@@ -92,7 +92,7 @@
 		first := <-a.poll(connection, newWaitingRequest(subscription.Cursor{}, state.MemberReady))
 		open := a.poll(connection, newWaitingRequest(first.response.Cursor, state.MemberReady))
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, []state.MemberState{state.MemberReady}, a.members.announced(), "an open poll is enough")
+		assert.Equal(t, []state.MemberState{state.MemberReady}, a.members.announced(), "an open poll shows that the proxy is running")
 		disconnect() // the proxy was killed
 		assert.Error(t, (<-open).err)
 		time.Sleep(pollTimeout + 2*tickInterval)
@@ -103,14 +103,14 @@
 	})
 }
 
-// TestAgent_ShutdownWaitsForTheProxy shuts down an agent whose proxy exits sooner, later or never.
+// TestAgent_ShutdownWaitsForTheProxy shuts down an agent whose proxy isn't running, exits soon, exits later or never exits.
 func TestAgent_ShutdownWaitsForTheProxy(t *testing.T) {
 	grace := 8 * time.Second
 	for _, test := range []struct {
 		name      string
-		proxyExit time.Duration // after the shutdown begins; 0: there is no proxy
-		min       time.Duration // until the agent stops
-		max       time.Duration
+		proxyExit time.Duration // time from the beginning of the shutdown; 0: there is no proxy
+		min       time.Duration // least time until the agent stops
+		max       time.Duration // greatest time until the agent stops
 	}{
 		{"no proxy", 0, 0, 2 * shutdownTickInterval},
 		{"proxy exits at once", time.Millisecond, pollTimeout, pollTimeout + 2*shutdownTickInterval},
@@ -145,7 +145,7 @@
 	}
 }
 
-// keepPolling polls as a proxy does until its connection is closed.
+// keepPolling polls like a proxy until the connection's context ends.
 func (a *testAgent) keepPolling(connection context.Context) {
 	var cursor subscription.Cursor
 	for connection.Err() == nil {
--- a/serving/agent/agentstate.go
+++ b/serving/agent/agentstate.go
@@ -8,57 +8,59 @@
 )
 
 const (
-	// firstRecordTimeout is how long a starting agent withholds updates while it has no record.
+	// firstRecordTimeout is how long after the agent's start updates are withheld from the proxy while there is no record.
 	firstRecordTimeout = time.Second
-	// confirmationTimeout is how long a starting agent withholds updates while a majority of the voters hasn't
-	// confirmed that its record is the newest. The member that transferred the record may be partitioned from the
-	// voters. Without a majority the agent serves the record that it has once this time is over.
+	// confirmationTimeout is how long after the agent's start updates are withheld while no majority of the voters has
+	// confirmed that its record is the newest: the member that transferred the record may be partitioned from the voters.
+	// If no majority answers within this time, the agent publishes the record that it has.
 	confirmationTimeout = 3 * time.Second
-	// shutdownReserve is the part of the grace period before SIGKILL that the agent reserves for its own shutdown.
+	// shutdownReserve is the part of the grace period, at whose end the process gets SIGKILL, that the agent doesn't spend
+	// waiting for its proxy: it needs the time to leave the membership.
 	shutdownReserve = 300 * time.Millisecond
 )
 
-// agentState is the agent's state, owned by one goroutine: what it publishes to its proxy, and the proxy's liveness.
+// agentState is the state that the agent's actor owns: the data published to the proxy, the proxy's liveness and its
+// reports on roll-outs.
 type agentState struct {
-	updates            *publisher
+	publisher          *publisher
 	proxy              proxyMonitor
 	rollouts           rolloutRelay
 	started            time.Time
 	shutdownDeadline   time.Time // zero: the agent isn't shutting down
-	awaitedIncarnation uint64    // of the proxy for whose exit a shutdown waits
+	awaitedIncarnation uint64    // of the proxy process whose exit the shutdown waits for
 	withheld           bool      // updates were withheld at the last tick
 	confirmed          bool      // a majority of the voters has answered with minRevision
 	minRevision        uint64    // the newest revision known to that majority
 }
 
-// confirmRevision notes the newest revision that a majority of the voters has answered with since the agent's start.
+// confirmRevision sets the newest revision known to a majority of the voters, which was queried after the agent's start.
 func (s *agentState) confirmRevision(revision uint64) {
 	s.confirmed = true
 	s.minRevision = revision
-	s.updates.notifySubscriber()
+	s.publisher.wakePolls()
 }
 
-// withholdsUpdates reports whether the agent has started so recently that an update would be nearly empty or might
-// carry an outdated record.
+// withholdsUpdates reports whether the agent must not send updates to the proxy yet: it has just started, and has either no
+// record or one that may be outdated.
 func (s *agentState) withholdsUpdates(now time.Time) bool {
 	age := now.Sub(s.started)
-	if s.updates.record == nil {
+	if s.publisher.record == nil {
 		return age < firstRecordTimeout
 	}
-	current := s.confirmed && s.updates.revision() >= s.minRevision
+	current := s.confirmed && s.publisher.revision() >= s.minRevision
 	return !current && age < confirmationTimeout
 }
 
-// tick applies what depends on time: it updates the proxy counts and wakes polls that had been withheld.
+// tick updates the state that depends on the time, and wakes the waiting polls once updates are no longer withheld.
 func (s *agentState) tick(now time.Time, proxies subscription.ProxyCounts, synced bool) {
-	s.updates.setProxies(proxies)
-	s.updates.sweepEndpoints(now)
+	s.publisher.setProxies(proxies)
+	s.publisher.sweepEndpoints(now)
 	if synced {
-		s.updates.setSynced()
+		s.publisher.setSynced()
 	}
 	withheld := s.withholdsUpdates(now)
 	if s.withheld && !withheld {
-		s.updates.notifySubscriber()
+		s.publisher.wakePolls()
 	}
 	s.withheld = withheld
 }
@@ -71,15 +73,15 @@
 	return s.proxy.state(now)
 }
 
-// beginShutdown starts the agent's shutdown, which ends within the grace period.
+// beginShutdown starts the agent's shutdown and sets its deadline, which is shutdownReserve before the end of the grace
+// period.
 func (s *agentState) beginShutdown(now time.Time, grace time.Duration) {
 	s.shutdownDeadline = now.Add(grace - shutdownReserve)
 	s.awaitedIncarnation = s.proxy.incarnation
 }
 
-// canStop reports whether an agent that shuts down may stop: its proxy has exited or the deadline has passed. It
-// doesn't wait for a proxy that was started meanwhile: that one is served by the next agent process, and this one
-// sends no announcement.
+// canStop reports whether an agent that is shutting down may stop: its proxy has exited or the deadline has passed. A
+// proxy process that was started during the shutdown isn't waited for: the next agent process serves and announces it.
 func (s *agentState) canStop(now time.Time) bool {
 	if s.shutdownDeadline.IsZero() {
 		return false
--- a/serving/agent/agentstate_test.go
+++ b/serving/agent/agentstate_test.go
@@ -9,7 +9,8 @@
 	"rowanlink/serving/state"
 )
 
-// newStoppingState returns the state of an agent that shuts down while its leaving proxy still runs.
+// newStoppingState returns the state of an agent that began to shut down one second after the epoch, while its leaving
+// proxy was still running. The grace period is 8 s.
 func newStoppingState() *agentState {
 	s := &agentState{}
 	s.proxy.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
@@ -26,7 +27,7 @@
 	assert.True(t, s.canStop(timeAfter(4*time.Second)))
 }
 
-// A proxy that restarts before its agent has stopped must not delay the agent's shutdown.
+// A proxy process that is started during the agent's shutdown must not delay the shutdown.
 func TestAgentState_DoesNotWaitForARestartedProxy(t *testing.T) {
 	s := newStoppingState()
 	s.proxy.pollOpened(timeAfter(4*time.Second), newPollRequest(2, state.MemberStarting))
--- a/serving/agent/applied.go
+++ b/serving/agent/applied.go
@@ -10,11 +10,12 @@
 	"rowanlink/serving/subscription"
 )
 
-// maxAppliedWait bounds the wait for a proxy that doesn't apply updates.
+// maxAppliedWait bounds how long awaitApplied waits for the proxy, which may be suspended.
 const maxAppliedWait = time.Second
 
-// recordApplied records that the proxy has applied the response with a cursor, which it proves by its next poll. The
-// cursor of a proxy that has just started, or that another agent has served, proves nothing.
+// recordApplied records what the proxy has applied, given the cursor of its poll: a proxy sends the cursor of a response
+// only after it has applied that response. A cursor without a checkpoint, as that of a proxy that has just started or was
+// served by an earlier agent process, counts as nothing applied.
 func (p *publisher) recordApplied(cursor subscription.Cursor) {
 	applied, found := p.findCheckpoint(cursor)
 	if !found {
@@ -24,12 +25,12 @@
 		return
 	}
 	p.applied = applied
-	close(p.appliedNews)
-	p.appliedNews = make(chan struct{})
+	close(p.appliedChanged)
+	p.appliedChanged = make(chan struct{})
 }
 
-// hasApplied reports whether the proxy has applied a version of an entry, or a newer one. Entries of tables that proxies
-// don't get count as applied.
+// hasApplied reports whether the proxy has applied the header's version of an entry, or a newer one. Entries of tables
+// other than endpoints and the record count as applied.
 func (p *publisher) hasApplied(header gossip.Header) bool {
 	switch header.Table {
 	case gossip.TableEndpoints:
@@ -42,38 +43,39 @@
 	}
 }
 
-// awaitApplied returns once the proxy has applied the named entries, or newer versions of them, and at once where no
-// proxy is running. It is the member's Applier. Errors are errcode.AgentStopping and errcode.NotApplied.
+// awaitApplied returns once the proxy has applied the named entries, or newer versions of them, and immediately if no
+// proxy is running. It is the agent's member.Applier. Errors are errcode.AgentStopping and, if the context or
+// maxAppliedWait ends first, errcode.NotApplied.
 func (a *agent) awaitApplied(ctx context.Context, headers []gossip.Header) error {
 	ctx, cancel := context.WithTimeout(ctx, maxAppliedWait)
 	defer cancel()
 	for {
-		news, ok := actor.Call(a.stateActor, func(s *agentState) <-chan struct{} {
-			return s.awaitedNews(time.Now(), headers)
+		changed, ok := actor.Call(a.stateActor, func(s *agentState) <-chan struct{} {
+			return s.appliedSignal(time.Now(), headers)
 		})
 		switch {
 		case !ok:
 			return errcode.AgentStopping.With("")
-		case news == nil:
+		case changed == nil:
 			return nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return errcode.NotApplied.With("%d entries: %v", len(headers), ctx.Err())
 		}
 	}
 }
 
-// awaitedNews returns the channel that is closed when the proxy has applied more, nil if it has applied all of the named
-// entries or isn't running.
-func (s *agentState) awaitedNews(now time.Time, headers []gossip.Header) <-chan struct{} {
+// appliedSignal returns the channel that is closed when the proxy has applied more updates; nil if there is nothing to wait
+// for, because the proxy has applied all of the named entries or isn't running.
+func (s *agentState) appliedSignal(now time.Time, headers []gossip.Header) <-chan struct{} {
 	if !s.proxy.isAlive(now) {
 		return nil
 	}
 	for _, header := range headers {
-		if !s.updates.hasApplied(header) {
-			return s.updates.appliedNews
+		if !s.publisher.hasApplied(header) {
+			return s.publisher.appliedChanged
 		}
 	}
 	return nil
--- a/serving/agent/applied_test.go
+++ b/serving/agent/applied_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/subscription"
 )
 
-// awaitApplied starts a wait for an endpoint's version.
+// awaitApplied starts a wait until the proxy has applied an endpoint's version, and returns the channel for its result.
 func (a *testAgent) awaitApplied(endpoint state.Endpoint) <-chan error {
 	result := make(chan error, 1)
 	header := gossip.Header{Table: gossip.TableEndpoints, Key: endpoint.ID, Version: endpoints.VersionOf(endpoint)}
@@ -24,8 +24,8 @@
 	return result
 }
 
-// TestAwaitApplied_ReturnsOnceTheProxyHasPolledAgain guards against a confirmation before the proxy has applied the entry:
-// that the response was sent, or that the agent has the entry, doesn't prove it.
+// TestAwaitApplied_ReturnsOnceTheProxyHasPolledAgain guards against a confirmation before the proxy has applied the entry.
+// That the agent has the entry, or has sent it to the proxy, doesn't prove it; the proxy's next poll does.
 func TestAwaitApplied_ReturnsOnceTheProxyHasPolledAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(time.Second)
@@ -38,27 +38,27 @@
 		departed := state.Endpoint{ID: "e", State: state.EndpointDeparted, Sequence: 7}
 		confirmed := a.awaitApplied(departed)
 		synctest.Wait()
-		assert.Empty(t, confirmed, "the agent doesn't have it")
+		assert.Empty(t, confirmed, "the agent doesn't have the entry")
 		a.members.deliver(t, gossip.TableEndpoints, departed)
 		second := <-a.poll(t.Context(), newWaitingRequest(first.response.Cursor, state.MemberReady))
 		require.NoError(t, second.err)
 		require.Len(t, second.response.Endpoints, 1)
 		synctest.Wait()
-		assert.Empty(t, confirmed, "the proxy hasn't shown that it has applied it")
+		assert.Empty(t, confirmed, "the proxy hasn't polled since the response, and may not have applied it")
 		ctx, cancel := context.WithCancel(t.Context())
 		third := a.poll(ctx, newWaitingRequest(second.response.Cursor, state.MemberReady))
 		assert.NoError(t, <-confirmed)
-		assert.NoError(t, <-a.awaitApplied(departed), "known already")
+		assert.NoError(t, <-a.awaitApplied(departed), "the proxy has already shown that it applied the entry")
 		cancel()
 		<-third
 		synctest.Wait()
 		time.Sleep(pollTimeout)
 		departed.ID = "other"
-		assert.NoError(t, <-a.awaitApplied(departed), "no proxy runs")
+		assert.NoError(t, <-a.awaitApplied(departed), "no proxy is running")
 	})
 }
 
-// TestAwaitApplied_IsBounded: a proxy that is suspended doesn't hold a call for good.
+// TestAwaitApplied_IsBounded guards against a wait that never ends because the proxy is suspended.
 func TestAwaitApplied_IsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newTestAgent(time.Second)
--- a/serving/agent/confirmation.go
+++ b/serving/agent/confirmation.go
@@ -14,9 +14,9 @@
 // confirmationRetryInterval is the time between two attempts to confirm the record.
 const confirmationRetryInterval = 100 * time.Millisecond
 
-// confirmRecord queries the voters, once after the start, for the newest revision, so that the proxy doesn't receive an
-// older record from a member that is partitioned from them. It returns when a majority has answered or updates aren't
-// withheld any more.
+// confirmRecord queries the voters for the newest revision after the agent's start. Until a majority has answered, the
+// agent's record may be an outdated one that came from a member partitioned from the voters, and isn't sent to the proxy.
+// confirmRecord returns when a majority has answered or confirmationTimeout is over.
 func (a *agent) confirmRecord(ctx context.Context, query register.QueryFunc) {
 	ctx, cancel := context.WithDeadline(ctx, a.started.Add(confirmationTimeout))
 	defer cancel()
@@ -34,12 +34,13 @@
 	event.RecordUnconfirmed.Log(a.log).Send()
 }
 
-// voters returns the replicas of the register that the current record names; false once the agent has stopped.
+// voters returns the replicas of the register that the current record lists, none if there is no record yet; false once
+// the agent has stopped.
 func (a *agent) voters() (state.ReplicaSet, bool) {
 	return actor.Call(a.stateActor, func(s *agentState) state.ReplicaSet {
-		if s.updates.record == nil {
+		if s.publisher.record == nil {
 			return state.ReplicaSet{}
 		}
-		return s.updates.record.Voters
+		return s.publisher.record.Voters
 	})
 }
--- a/serving/agent/confirmation_test.go
+++ b/serving/agent/confirmation_test.go
@@ -20,8 +20,8 @@
 // errUnreachable is the error of a call to a voter that can't be reached.
 var errUnreachable = errors.New("unreachable")
 
-// fakeVoters answer a query for their newest revision after 5 ms, those with an older revision a little sooner than
-// others; calls to an address that is missing fail.
+// fakeVoters holds the voters' answers by address. A voter answers a query for its newest revision after 5 ms and further
+// 0.1 ms for each revision, so that voters with older revisions answer first. Queries to other addresses fail.
 type fakeVoters map[string]register.Vote
 
 func (f fakeVoters) query(_ context.Context, address string, request *register.QueryRequest) (*register.Vote, error) {
@@ -45,15 +45,15 @@
 	return register.Vote{Result: register.Granted, Revision: revision}
 }
 
-// newUnconfirmedAgent returns an agent that has just started.
+// newUnconfirmedAgent returns an agent that has just started and whose record isn't confirmed yet.
 func newUnconfirmedAgent() *testAgent {
 	a := newTestAgent(8 * time.Second)
 	a.stateActor.Send(func(s *agentState) { s.confirmed = false })
 	return a
 }
 
-// An agent restarts, and the first member that it reaches is a partitioned core that transfers an outdated record. The
-// proxy gets no update until the newest record has arrived.
+// An agent restarts, and the first member that it reaches is a core member partitioned from the voters, which transfers an
+// outdated record. The proxy must get no update until the newest record has arrived.
 func TestConfirmRecord_WithholdsRecordFromPartitionedMember(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -93,7 +93,7 @@
 	return &set
 }
 
-// A record that is the newest already is published as soon as a majority has confirmed it.
+// If the agent's first record is the newest one, it is published as soon as a majority has confirmed that.
 func TestConfirmRecord_ReleasesTheNewestRecordAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newUnconfirmedAgent()
@@ -108,8 +108,8 @@
 
 // Without a majority the agent publishes the record that it has after confirmationTimeout.
 func TestConfirmRecord_ReleasesAfterTheTimeoutWithoutAMajority(t *testing.T) {
-	for alone := range 2 {
-		t.Run(fmt.Sprint(alone, " voters"), func(t *testing.T) {
+	for answering := range 2 {
+		t.Run(fmt.Sprint(answering, " voters"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newUnconfirmedAgent()
 				ctx, stop := context.WithCancel(t.Context())
@@ -120,7 +120,7 @@
 					a.stateActor.Stop()
 				}()
 				voters := fakeVoters{}
-				if alone == 1 {
+				if answering == 1 {
 					voters["a"] = newGrantedVote(9)
 				}
 				go a.confirmRecord(t.Context(), voters.query)
--- a/serving/agent/encoding_test.go
+++ b/serving/agent/encoding_test.go
@@ -7,7 +7,8 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms compares the form of the directory's responses with a golden file.
+// TestEncodedForms compares the JSON form of the directory's responses with the golden file, so that a rename in Go can't
+// change what clients receive.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.JSON,
 		lookupResponse{},
--- a/serving/agent/fixture_test.go
+++ b/serving/agent/fixture_test.go
@@ -19,7 +19,7 @@
 	"rowanlink/serving/subscription"
 )
 
-// fakeMembers is a memberService whose members the test sets. It records what the agent announces.
+// fakeMembers is a memberService whose peers are set by the test. It records what the agent announces.
 type fakeMembers struct {
 	mutex       sync.Mutex
 	self        state.Member
@@ -101,7 +101,7 @@
 	f.subscribers[table](gossip.Entry{Table: table, Key: "k", Value: encoded})
 }
 
-// testAgent is an agent with fake members, with the server that its proxy polls.
+// testAgent is an agent with fake members and the server that its proxy polls.
 type testAgent struct {
 	*agent
 	members      *fakeMembers
@@ -109,6 +109,7 @@
 	observations chan []state.Observation // forwarded from the proxy's polls
 }
 
+// newTestAgent returns an agent that has just started and whose record counts as confirmed.
 func newTestAgent(grace time.Duration) *testAgent {
 	fake := newFakeMembers()
 	log := zerolog.Nop()
@@ -148,7 +149,7 @@
 	return outcome
 }
 
-// newWaitingRequest returns a request that waits for up to five seconds.
+// newWaitingRequest returns a poll of the proxy's first incarnation that waits for up to five seconds.
 func newWaitingRequest(since subscription.Cursor, reported state.MemberState) *subscription.Request {
 	return &subscription.Request{
 		Since:         since,
--- a/serving/agent/gossipentries.go
+++ b/serving/agent/gossipentries.go
@@ -10,11 +10,11 @@
 	"rowanlink/serving/state"
 )
 
-// subscribeToGossip applies the gossiped records, endpoints and loads to the agent's state.
+// subscribeToGossip registers subscribers that apply gossiped records, endpoints and loads to the agent's state.
 func (a *agent) subscribeToGossip() {
 	a.members.Subscribe(gossip.TableRecord, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, _ time.Time, record state.Record) {
-			if s.updates.setRecord(&record) {
+			if s.publisher.setRecord(&record) {
 				event.RecordUpdated.Log(a.log).
 					Uint64("revision", record.Revision).
 					Uint64("version", record.Configuration.Version).
@@ -24,11 +24,11 @@
 	})
 	a.members.Subscribe(gossip.TableEndpoints, func(entry gossip.Entry) {
 		applyEntry(a, entry, func(s *agentState, now time.Time, endpoint state.Endpoint) {
-			s.updates.mergeEndpoint(now, endpoint)
+			s.publisher.mergeEndpoint(now, endpoint)
 		})
 	})
 	a.members.Subscribe(gossip.TableLoads, func(entry gossip.Entry) {
-		applyEntry(a, entry, func(s *agentState, _ time.Time, load state.Load) { s.updates.setLoad(load) })
+		applyEntry(a, entry, func(s *agentState, _ time.Time, load state.Load) { s.publisher.setLoad(load) })
 	})
 }
 
--- a/serving/agent/listeners.go
+++ b/serving/agent/listeners.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// lookupIdleTimeout is longer than clients cache an answer of the directory.
+	// lookupIdleTimeout is how long an idle connection of a client is kept open. It is longer than clients cache an answer,
+	// so that the next look-up reuses the connection.
 	lookupIdleTimeout = 15 * time.Second
 	// maxLookupHeaderBytes bounds the header of a look-up.
 	maxLookupHeaderBytes = 8 << 10
@@ -24,7 +25,7 @@
 	directory    net.Listener // look-ups of clients; nil if the settings have no address for it
 }
 
-// listenOnAll opens all listeners or none. Its errors are errcode.AgentAddressInUse.
+// listenOnAll opens all listeners. If one can't be opened it closes the others and returns errcode.AgentAddressInUse.
 func listenOnAll(ctx context.Context, processSettings *settings.Process) (all listeners, err error) {
 	for _, each := range []struct {
 		listener *net.Listener
@@ -49,7 +50,7 @@
 func (l listeners) close() {
 	for _, listener := range []net.Listener{l.internal, l.subscription, l.directory} {
 		if listener != nil {
-			_ = listener.Close() // nothing is lost with a listener
+			_ = listener.Close() // an error is harmless: no data is written through a listener
 		}
 	}
 }
--- a/serving/agent/loadtable.go
+++ b/serving/agent/loadtable.go
@@ -2,10 +2,11 @@
 
 import "rowanlink/serving/state"
 
-// maxLoads bounds the table. Loads of departed endpoints remain until newer ones evict them.
+// maxLoads bounds the number of loads. The load of a departed endpoint stays in the table until it is evicted, as the least
+// recently changed one, by the load of a new endpoint.
 const maxLoads = 4096
 
-// loadTable holds the newest load of each endpoint and the order in which they arrived.
+// loadTable holds the newest load of each endpoint and the order in which they changed.
 type loadTable struct {
 	position uint64               // of the newest change
 	entries  map[string]loadEntry // by endpoint ID
@@ -18,8 +19,8 @@
 
 func newLoadTable() loadTable { return loadTable{entries: map[string]loadEntry{}} }
 
-// update stores a load and reports whether it differs from the stored one. Gossip delivers only loads that are newer
-// than those it has delivered before.
+// update stores a load and reports whether it differs from the stored one. It doesn't compare their age, since gossip
+// delivers a load only if it is newer than those delivered before.
 func (t *loadTable) update(load state.Load) bool {
 	current, found := t.entries[load.EndpointID]
 	if found && load == current.load {
@@ -46,6 +47,7 @@
 	return loads
 }
 
+// evictOldest removes the load that changed least recently.
 func (t *loadTable) evictOldest() {
 	oldestID := ""
 	oldestPosition := t.position + 1
--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -11,8 +11,8 @@
 	"rowanlink/serving/state"
 )
 
-// defaultTTL is how long clients should cache an answer. Some cache it three times as long; a proxy that shuts down
-// takes requests for a little longer than that.
+// defaultTTL is how long clients should cache an answer. Some clients cache it three times as long, so a proxy that shuts
+// down goes on accepting requests for slightly more than three times this TTL.
 const defaultTTL = time.Second
 
 // lookupHandler is the directory: it answers clients that look up the addresses of proxies.
@@ -65,11 +65,12 @@
 	return chooseAddresses(members, client, h.random)
 }
 
+// writeError writes the error response for a kind of error.
 func writeError(w http.ResponseWriter, kind errcode.Kind) {
 	writeJSON(w, kind.Status, lookupError{Error: kind.Message, Code: uint16(kind.Code)})
 }
 
-// writeJSON writes a JSON response. A failed write is ignored: the client has disconnected.
+// writeJSON writes a JSON response. A failed write is ignored, since it means that the client has disconnected.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/serving/agent/lookuphandler_test.go
+++ b/serving/agent/lookuphandler_test.go
@@ -13,10 +13,10 @@
 	"rowanlink/serving/state"
 )
 
-// serveTestLookup sends one request to a directory whose agent knows the members.
-func serveTestLookup(method, target string, settled bool, ttlMost time.Duration, live ...state.Member) *httptest.ResponseRecorder {
-	handler := &lookupHandler{members: func() []state.Member { return live }, isReady: func() bool { return settled },
-		regions: testRegions, maxTTL: ttlMost, random: rand.New(rand.NewPCG(1, 2))}
+// serveTestLookup passes one request to a directory whose agent knows the given live members.
+func serveTestLookup(method, target string, ready bool, maxTTL time.Duration, live ...state.Member) *httptest.ResponseRecorder {
+	handler := &lookupHandler{members: func() []state.Member { return live }, isReady: func() bool { return ready },
+		regions: testRegions, maxTTL: maxTTL, random: rand.New(rand.NewPCG(1, 2))}
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequestWithContext(context.Background(), method, target, nil))
 	return recorder
@@ -26,13 +26,13 @@
 	near, far := newProxyMember("n1", 1, state.MemberReady), newProxyMember("s1", 1, state.MemberReady)
 	target := "/lookup?name=a.example&region=north&zone=n1"
 	for _, test := range []struct {
-		name    string
-		method  string
-		target  string
-		settled bool
-		live    []state.Member
-		status  int
-		body    string
+		name   string
+		method string
+		target string
+		ready  bool
+		live   []state.Member
+		status int
+		body   string
 	}{
 		{"near", "GET", target, true, []state.Member{near, far}, 200, `{"addresses":["n1-1:80"],"ttl_s":1}`},
 		{"no proxy is ready", "GET", target, true, nil, 503, `{"error":"no proxy is known to be ready","code":801}`},
@@ -45,7 +45,7 @@
 		{"unreadable query", "GET", "/lookup?zone=%zz&region=north", true, []state.Member{near, far}, 200,
 			`{"addresses":["n1-1:80"],"ttl_s":1}`},
 	} {
-		got := serveTestLookup(test.method, test.target, test.settled, 5*time.Second, test.live...)
+		got := serveTestLookup(test.method, test.target, test.ready, 5*time.Second, test.live...)
 		assert.Equal(t, test.status, got.Code, test.name)
 		assert.JSONEq(t, test.body, got.Body.String(), test.name)
 		assert.Equal(t, "application/json", got.Header().Get("Content-Type"), test.name)
--- a/serving/agent/lookupwire.go
+++ b/serving/agent/lookupwire.go
@@ -1,6 +1,6 @@
 package agent
 
-// The directory's HTTP interface.
+// Names in the directory's HTTP interface.
 const (
 	lookupPath  = "/lookup"
 	queryRegion = "region"
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -13,11 +13,12 @@
 const (
 	// forwardTimeout bounds one call that forwards observations.
 	forwardTimeout = 400 * time.Millisecond
-	// maxForwardCalls bounds the concurrent ones.
+	// maxForwardCalls bounds the number of concurrent calls that forward observations.
 	maxForwardCalls = 4
 )
 
-// observationForwarder forwards the proxy's observations of endpoints to the core members that judge them.
+// observationForwarder forwards the proxy's observations of endpoints to the core members that decide on the endpoints'
+// state.
 type observationForwarder struct {
 	observer    string // name of this member
 	client      *rpc.Client
@@ -31,7 +32,7 @@
 	receivers, _ := actor.Call(a.stateActor, func(s *agentState) map[string]string {
 		byID := make(map[string]string, len(ids))
 		for _, id := range ids {
-			if endpoint, found := s.updates.endpoints.Get(time.Now(), id); found {
+			if endpoint, found := s.publisher.endpoints.Get(time.Now(), id); found {
 				byID[id] = endpoint.Receiver
 			}
 		}
@@ -67,8 +68,9 @@
 	_, _ = exchange.ObserveMethod.Call(ctx, f.client, address, &request)
 }
 
-// groupByAddress groups observations by the core member that judges the endpoint: its receiver or, if that isn't live,
-// all core members, one of which has the role of judging it.
+// groupByAddress groups observations by the address of the core member to send them to. This is the receiver of the
+// endpoint's heartbeats, which decides on the endpoint's state. If the receiver isn't live, the observation goes to all core
+// members, one of which holds the role of deciding in its place.
 func (f *observationForwarder) groupByAddress(observations []state.Observation) map[string][]state.Observation {
 	ids := make([]string, 0, len(observations))
 	for _, observation := range observations {
--- a/serving/agent/observations_test.go
+++ b/serving/agent/observations_test.go
@@ -18,8 +18,8 @@
 	"rowanlink/serving/subscription"
 )
 
-// TestObservationForwarder_GroupsByReceiver: observations go to the receiver of the endpoint's heartbeats or, if that
-// isn't live, to all core members.
+// TestObservationForwarder_GroupsByReceiver checks that observations go to the receiver of the endpoint's heartbeats or, if
+// the receiver isn't live, to all core members.
 func TestObservationForwarder_GroupsByReceiver(t *testing.T) {
 	forwarder := &observationForwarder{
 		members: func() []state.Member {
--- a/serving/agent/proxymonitor_test.go
+++ b/serving/agent/proxymonitor_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/subscription"
 )
 
-// timeAfter returns the time so long after the test's start.
+// timeAfter returns the time that is elapsed after the epoch, at which the tests start.
 func timeAfter(elapsed time.Duration) time.Time { return epoch.Add(elapsed) }
 
 var epoch = time.Unix(1_000_000, 0)
@@ -39,7 +39,7 @@
 	p.pollClosed(timeAfter(2*time.Second), 1, false)
 	assert.True(t, p.isAlive(timeAfter(time.Minute)), "the poll of the second process is open")
 	p.pollClosed(timeAfter(time.Minute), 2, false)
-	p.pollClosed(timeAfter(time.Minute), 2, false) // once too often: ignored
+	p.pollClosed(timeAfter(time.Minute), 2, false) // there is no open poll left: ignored
 	assert.False(t, p.isAlive(timeAfter(time.Minute+pollTimeout)))
 }
 
@@ -53,7 +53,7 @@
 func TestProxyMonitor_LeavingProxyTerminatesOnceItDisconnects(t *testing.T) {
 	var p proxyMonitor
 	p.pollOpened(timeAfter(0), newPollRequest(1, state.MemberReady))
-	p.pollClosed(timeAfter(time.Second), 1, true) // cancelled by the proxy, to report at once that it leaves
+	p.pollClosed(timeAfter(time.Second), 1, true) // cancelled by the proxy, which polls again at once to report that it leaves
 	assert.True(t, p.isAlive(timeAfter(time.Second)))
 	p.pollOpened(timeAfter(time.Second), newPollRequest(1, state.MemberLeaving))
 	p.pollClosed(timeAfter(2*time.Second), 1, false)
--- a/serving/agent/publisher.go
+++ b/serving/agent/publisher.go
@@ -9,17 +9,18 @@
 	"rowanlink/serving/subscription"
 )
 
-// checkpointsRetained is the number of latest responses from which a proxy may resume. One would do if no response
-// were ever lost.
+// checkpointsRetained is the number of latest responses whose cursors can be the base of a delta. One would suffice if no
+// response were ever lost.
 const checkpointsRetained = 8
 
 // endpointTable is the part of endpoints.Table that the agent uses.
 type endpointTable interface {
 	// Merge applies an entry and reports whether it changed the table.
 	Merge(now time.Time, endpoint state.Endpoint) bool
-	// ChangesSince returns what has changed since a position.
+	// ChangesSince returns the endpoints that have changed or were removed since a position.
 	ChangesSince(now time.Time, since uint64) endpoints.Delta
-	// ChangePosition returns the position of an endpoint's newest change, and whether its version is that new.
+	// ChangePosition returns the position of an endpoint's newest change, and whether the table has received this version
+	// of the endpoint or a newer one.
 	ChangePosition(id string, version gossip.Version) (position uint64, current bool)
 	// Get returns an endpoint.
 	Get(now time.Time, id string) (state.Endpoint, bool)
@@ -27,46 +28,46 @@
 	Sweep(now time.Time) []state.Endpoint
 }
 
-// checkpoint is the state of a proxy that has applied one response.
+// checkpoint is the state of a proxy that has applied a certain response.
 type checkpoint struct {
 	position          uint64 // sequence number of the response
 	endpointsPosition uint64 // in the table of endpoints
 	loadsPosition     uint64 // in the table of loads
 	revision          uint64 // of the record
 	proxies           subscription.ProxyCounts
-	partial           bool // a snapshot was due, but the agent wasn't synced when it was sent
-	leasesPosition    uint64
+	partial           bool   // built on a snapshot that was sent before the agent was synced
+	leasesPosition    uint64 // of the roll-out leases
 }
 
 // publisher holds the data that the agent publishes to its proxy and computes the delta between a proxy's cursor and
 // the current data. It isn't safe for concurrent use.
 type publisher struct {
-	incarnation uint64 // of this process; a cursor of another one is invalid
-	endpoints   endpointTable
-	record      *state.Record // nil: none known yet
-	loads       loadTable
-	proxies     subscription.ProxyCounts
-	synced      bool // the data counts as complete
-	position    uint64
-	checkpoints [checkpointsRetained]checkpoint // ring, by position
-	changed     chan struct{}                   // closed, and replaced, at each change
-	applied     checkpoint                      // of the proxy's last poll: what it has applied
-	appliedNews chan struct{}                   // closed, and replaced, at each change of applied
-	leases      rolloutLeases
+	incarnation    uint64 // of this agent process; cursors of other incarnations are invalid
+	endpoints      endpointTable
+	record         *state.Record // nil: none known yet
+	loads          loadTable
+	proxies        subscription.ProxyCounts
+	synced         bool                            // the data counts as complete
+	position       uint64                          // of the newest response
+	checkpoints    [checkpointsRetained]checkpoint // ring, by position
+	changed        chan struct{}                   // closed, and replaced, at each change
+	applied        checkpoint                      // what the proxy has applied, according to its last poll
+	appliedChanged chan struct{}                   // closed, and replaced, at each change of applied
+	leases         rolloutLeases
 }
 
 func newPublisher(incarnation uint64, endpoints endpointTable) *publisher {
 	return &publisher{
-		incarnation: incarnation,
-		endpoints:   endpoints,
-		loads:       newLoadTable(),
-		changed:     make(chan struct{}),
-		appliedNews: make(chan struct{}),
+		incarnation:    incarnation,
+		endpoints:      endpoints,
+		loads:          newLoadTable(),
+		changed:        make(chan struct{}),
+		appliedChanged: make(chan struct{}),
 	}
 }
 
-// notifySubscriber wakes the waiting polls.
-func (p *publisher) notifySubscriber() {
+// wakePolls wakes the waiting polls.
+func (p *publisher) wakePolls() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -77,25 +78,26 @@
 		return false
 	}
 	p.record = record
-	p.notifySubscriber()
+	p.wakePolls()
 	return true
 }
 
 // mergeEndpoint merges an entry into the table of endpoints.
 func (p *publisher) mergeEndpoint(now time.Time, endpoint state.Endpoint) {
 	if p.endpoints.Merge(now, endpoint) {
-		p.notifySubscriber()
+		p.wakePolls()
 	}
 }
 
-// sweepEndpoints removes endpoints that departed long ago. The proxy receives it with the next update, since it
-// isn't urgent. What Sweep returns is ignored: an agent judges no endpoints and so has nothing to gossip.
+// sweepEndpoints removes endpoints that departed long ago. It doesn't wake polls: the removal isn't
+// urgent, and the proxy receives it with the next update. The result of Sweep, which core members gossip, is ignored, since
+// agents don't decide on the state of endpoints.
 func (p *publisher) sweepEndpoints(now time.Time) { p.endpoints.Sweep(now) }
 
 // setLoad stores an endpoint's load report.
 func (p *publisher) setLoad(load state.Load) {
 	if p.loads.update(load) {
-		p.notifySubscriber()
+		p.wakePolls()
 	}
 }
 
@@ -103,7 +105,7 @@
 func (p *publisher) setProxies(proxies subscription.ProxyCounts) {
 	if p.proxies != proxies {
 		p.proxies = proxies
-		p.notifySubscriber()
+		p.wakePolls()
 	}
 }
 
@@ -111,19 +113,20 @@
 func (p *publisher) setSynced() {
 	if !p.synced {
 		p.synced = true
-		p.notifySubscriber()
+		p.wakePolls()
 	}
 }
 
-// updateSince returns the delta from the cursor to the current data, or a snapshot if the cursor is no base for a
-// delta; false if nothing has changed.
+// updateSince returns the delta from the cursor to the current data, or a snapshot if there is no delta from this cursor;
+// false if nothing has changed.
 func (p *publisher) updateSince(now time.Time, cursor subscription.Cursor) (*subscription.Response, bool) {
 	base, found := p.findCheckpoint(cursor)
 	if !found || base.partial && p.synced {
 		return p.snapshot(now), true
 	}
 	delta := p.endpoints.ChangesSince(now, base.endpointsPosition)
-	if delta.Complete && base.endpointsPosition != 0 { // at position 0 the table was empty: the complete table is the delta
+	// At position 0 the table was empty, so that its complete contents are the delta.
+	if delta.Complete && base.endpointsPosition != 0 {
 		return p.snapshot(now), true
 	}
 	response := &subscription.Response{
@@ -145,7 +148,7 @@
 	return response, true
 }
 
-// isEmpty reports whether the response has no record, endpoint or load.
+// isEmpty reports whether the response carries no data, apart from the counts of proxies.
 func isEmpty(response *subscription.Response) bool {
 	return response.Record == nil &&
 		len(response.Endpoints) == 0 &&
@@ -154,8 +157,9 @@
 		len(response.Loads) == 0
 }
 
-// snapshot returns all data. A proxy drops what isn't in a complete snapshot; an agent that isn't synced may not have
-// met a member that knows more, and so leaves the proxy what it has.
+// snapshot returns all data. It is marked as complete only if the agent is synced, since a proxy drops whatever isn't in a
+// complete snapshot: an agent that has just started may not have received all data yet, and must not make the proxy drop
+// what it knows.
 func (p *publisher) snapshot(now time.Time) *subscription.Response {
 	all := p.endpoints.ChangesSince(now, 0)
 	return &subscription.Response{
@@ -170,11 +174,12 @@
 	}
 }
 
-// emptyUpdate returns the response to a poll that has timed out without a change.
+// emptyUpdate returns the response to a poll that has timed out without a change. It keeps the cursor.
 func (p *publisher) emptyUpdate(cursor subscription.Cursor) *subscription.Response {
 	return &subscription.Response{Cursor: cursor, Proxies: p.proxies}
 }
 
+// revision returns the record's revision; zero if there is no record.
 func (p *publisher) revision() uint64 {
 	if p.record == nil {
 		return 0
@@ -182,8 +187,8 @@
 	return p.record.Revision
 }
 
-// addCheckpoint records the state of a proxy that will have applied the response in the making, and returns the cursor
-// for that response.
+// addCheckpoint records the state that a proxy will have after it applies the response that is being built, and returns
+// that response's cursor.
 func (p *publisher) addCheckpoint(endpointsPosition uint64, partial bool) subscription.Cursor {
 	p.position++
 	p.checkpoints[p.position%checkpointsRetained] = checkpoint{
@@ -198,7 +203,8 @@
 	return subscription.Cursor{Incarnation: p.incarnation, Position: p.position}
 }
 
-// findCheckpoint returns the checkpoint of a cursor. The zero cursor has none.
+// findCheckpoint returns the checkpoint of a cursor; false if it isn't retained or belongs to another agent process. The
+// zero cursor has no checkpoint.
 func (p *publisher) findCheckpoint(cursor subscription.Cursor) (checkpoint, bool) {
 	retained := p.checkpoints[cursor.Position%checkpointsRetained]
 	found := cursor.Incarnation == p.incarnation && cursor.Position != 0 && retained.position == cursor.Position
--- a/serving/agent/publisher_test.go
+++ b/serving/agent/publisher_test.go
@@ -21,7 +21,7 @@
 	return state.Endpoint{ID: id, Service: "s", Address: id + ":80", Sequence: sequence, Slots: 1}
 }
 
-// proxyReplica is a proxy's copy of the published data, built from the responses.
+// proxyReplica is a proxy's copy of the published data, which it builds from the responses.
 type proxyReplica struct {
 	cursor    subscription.Cursor
 	revision  uint64
@@ -129,8 +129,8 @@
 	assert.Equal(t, map[string]uint64{"e": 2, "f": 1}, proxy.endpoints)
 }
 
-// TestPublisher_ProxyConverges: whatever is published and whichever responses are lost, the proxy ends up with the
-// agent's data.
+// TestPublisher_ProxyConverges checks that the proxy ends up with the agent's data, whatever is published in which order and
+// whichever responses are lost.
 func TestPublisher_ProxyConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, proxy := newTestPublisher(7), newProxyReplica()
--- a/serving/agent/report.go
+++ b/serving/agent/report.go
@@ -17,8 +17,9 @@
 	return endpoints
 }
 
+// listEndpoints returns all endpoints in the state's table.
 func listEndpoints(s *agentState) []state.Endpoint {
-	return s.updates.endpoints.ChangesSince(time.Now(), 0).Changed
+	return s.publisher.endpoints.ChangesSince(time.Now(), 0).Changed
 }
 
 // reportData is the part of a report that comes from the agent's state.
@@ -27,11 +28,11 @@
 	endpoints []state.Endpoint
 }
 
-// report returns the agent's report for operators.
+// report returns the agent's report for operators, with its tables only if the request includes them.
 func (a *agent) report(request introspect.Request) introspect.Report {
 	report := introspect.Report{Self: a.members.Self()}
 	data, _ := actor.Call(a.stateActor, func(s *agentState) (data reportData) {
-		data.record = s.updates.record
+		data.record = s.publisher.record
 		if request.IncludeTables {
 			data.endpoints = listEndpoints(s)
 		}
--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -25,7 +25,7 @@
 	"rowanlink/serving/subscription"
 )
 
-// seedIP is the address of the member through which the agent joins. All of 127/8 is this machine.
+// seedIP is the address of the seed through which the agent joins. All addresses of 127/8 are on loopback.
 const seedIP = "127.0.0.2"
 
 // startSeed starts a member as the agent's seed.
@@ -64,7 +64,7 @@
 	return seed
 }
 
-// publish has the seed gossip a value.
+// publish makes the seed gossip a value.
 func publish(t *testing.T, seed *member.Service, table gossip.TableID, key string, version uint64, value any) {
 	t.Helper()
 	encoded, err := cbor.Marshal(value)
@@ -87,7 +87,7 @@
 	return started
 }
 
-// pollUntil polls as a proxy does until the condition on the proxy's copy holds.
+// pollUntil polls like a proxy and applies the responses to its copy until the condition holds.
 func pollUntil(t *testing.T, client *rpc.Client, address string, proxy *proxyReplica, condition func() bool) {
 	t.Helper()
 	request := &subscription.Request{
@@ -106,8 +106,8 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// TestRun_RestartedAgentSynchronizesFromASeed restarts an agent while the record and an endpoint change. Its proxy never
-// sees an older record and ends up with the seed's data.
+// TestRun_RestartedAgentSynchronizesFromASeed restarts an agent while the record and an endpoint change. Its proxy must
+// never get an older record than it has, and must end up with the seed's data.
 func TestRun_RestartedAgentSynchronizesFromASeed(t *testing.T) {
 	process, path := newLoopbackSettings(t)
 	seed := startSeed(t, process)
--- a/serving/agent/rollouts.go
+++ b/serving/agent/rollouts.go
@@ -14,47 +14,49 @@
 )
 
 const (
-	// rolloutTickInterval is the time between two checks for reports that are due, and so the least time between two
+	// rolloutTickInterval is the time between two checks whether reports are due. It is also the least time between two
 	// reports.
 	rolloutTickInterval = 250 * time.Millisecond
-	// rolloutReportInterval is the time between two reports while nothing bad is observed. Leases last longer.
+	// rolloutReportInterval is the time between two reports while no bad answers are observed. It is shorter than a lease,
+	// which the response to a report renews.
 	rolloutReportInterval = time.Second
-	// rolloutCallTimeout bounds the call that passes on a report.
+	// rolloutCallTimeout bounds the call that sends reports to a core member.
 	rolloutCallTimeout = 400 * time.Millisecond
 )
 
-// rolloutRelay holds the proxy's newest reports on roll-outs.
+// rolloutRelay holds the proxy's newest report on each roll-out and decides when the reports are sent to the core.
 type rolloutRelay struct {
 	reports map[uint64]state.RolloutReport // by OrderRevision
-	urgent  bool                           // bad answers have come since the last report
-	sentAt  time.Time
+	urgent  bool                           // send at once: since sentAt the proxy has restarted or counted more bad answers
+	sentAt  time.Time                      // when reports were last sent
 }
 
-// take takes the proxy's newest reports.
-func (r *rolloutRelay) take(reports []state.RolloutReport) {
+// storeReports replaces the stored reports by the proxy's newest ones.
+func (r *rolloutRelay) storeReports(reports []state.RolloutReport) {
 	if r.reports == nil {
 		r.reports = map[uint64]state.RolloutReport{}
 	}
 	for _, report := range reports {
 		known := r.reports[report.OrderRevision]
-		if badAnswers(report) > badAnswers(known) || known.Incarnation != report.Incarnation {
+		if badAnswerCount(report) > badAnswerCount(known) || known.Incarnation != report.Incarnation {
 			r.urgent = true
 		}
 		r.reports[report.OrderRevision] = report
 	}
 }
 
-// badAnswers returns the number of bad answers of the target that a report counts.
-func badAnswers(report state.RolloutReport) (bad int) {
+// badAnswerCount returns the number of answers of the roll-out's target in a report that failed or were slow.
+func badAnswerCount(report state.RolloutReport) (bad int) {
 	for _, counts := range report.Routes {
 		bad += counts.Target.Failed + counts.Target.Slow
 	}
 	return bad
 }
 
-// due returns the reports to be passed on now: one for each roll-out in progress, an empty one where the proxy hasn't
-// reported yet.
-func (r *rolloutRelay) due(now time.Time, record *state.Record) (reports []state.RolloutReport) {
+// takeDue returns the reports to be sent now: one for each roll-out in progress, and none if it isn't time for reports. If
+// the proxy hasn't reported on a roll-out yet, its report is empty and only requests a lease. Reports on roll-outs that
+// have ended are dropped.
+func (r *rolloutRelay) takeDue(now time.Time, record *state.Record) (reports []state.RolloutReport) {
 	inProgress := map[uint64]bool{}
 	if record != nil {
 		for _, known := range record.Rollouts {
@@ -79,45 +81,48 @@
 	return reports
 }
 
-// rolloutLeases are the leases that the core has granted.
+// rolloutLeases are the leases that the core has granted. A proxy sends calls to the target of a roll-out only while it has
+// the roll-out's lease.
 type rolloutLeases struct {
-	until    map[uint64]time.Time // by OrderRevision
+	expiry   map[uint64]time.Time // by OrderRevision
 	position uint64               // increases with each renewal
 }
 
-// renew takes leases that were asked for at a time.
-func (l *rolloutLeases) renew(askedAt time.Time, leases []state.RolloutLease) {
-	if l.until == nil {
-		l.until = map[uint64]time.Time{}
+// renew stores leases that were requested at a time. They are counted from the request rather than from the response, so
+// that they end here no later than at the member that granted them.
+func (l *rolloutLeases) renew(requestedAt time.Time, leases []state.RolloutLease) {
+	if l.expiry == nil {
+		l.expiry = map[uint64]time.Time{}
 	}
 	for _, lease := range leases {
-		l.until[lease.OrderRevision] = askedAt.Add(time.Duration(lease.Millis) * time.Millisecond)
+		l.expiry[lease.OrderRevision] = requestedAt.Add(time.Duration(lease.Millis) * time.Millisecond)
 	}
 	l.position++
 }
 
-// remaining returns the leases that are left, and removes those that have ended.
+// remaining returns the leases that haven't expired, with their remaining durations, and removes the others.
 func (l *rolloutLeases) remaining(now time.Time) (leases []state.RolloutLease) {
-	maps.DeleteFunc(l.until, func(_ uint64, until time.Time) bool { return !now.Before(until) })
-	for revision, until := range l.until {
+	maps.DeleteFunc(l.expiry, func(_ uint64, expiry time.Time) bool { return !now.Before(expiry) })
+	for revision, expiry := range l.expiry {
 		leases = append(leases, state.RolloutLease{
 			OrderRevision: revision,
-			Millis:        until.Sub(now).Milliseconds(),
+			Millis:        expiry.Sub(now).Milliseconds(),
 		})
 	}
 	return leases
 }
 
-// renewLeases takes leases and wakes the proxy's poll.
-func (p *publisher) renewLeases(askedAt time.Time, leases []state.RolloutLease) {
+// renewLeases stores leases that were requested at a time and wakes the waiting polls.
+func (p *publisher) renewLeases(requestedAt time.Time, leases []state.RolloutLease) {
 	if len(leases) == 0 {
 		return
 	}
-	p.leases.renew(askedAt, leases)
-	p.notifySubscriber()
+	p.leases.renew(requestedAt, leases)
+	p.wakePolls()
 }
 
-// rolloutReporter passes the proxy's reports on roll-outs to the core member that decides on them, and takes its leases.
+// rolloutReporter sends the proxy's reports on roll-outs to the core member that decides on them, and stores the leases that
+// it grants.
 type rolloutReporter struct {
 	agent  *agent
 	client *rpc.Client
@@ -132,35 +137,36 @@
 	ctxsleep.Repeat(ctx, rolloutTickInterval, func() { r.tick(ctx) })
 }
 
-// tick passes on the reports that are due.
+// tick sends the reports that are due.
 func (r *rolloutReporter) tick(ctx context.Context) {
 	reports, _ := actor.Call(r.agent.stateActor, func(s *agentState) []state.RolloutReport {
-		return s.rollouts.due(time.Now(), s.updates.record)
+		return s.rollouts.takeDue(time.Now(), s.publisher.record)
 	})
 	if len(reports) == 0 {
 		return
 	}
 	request := rollout.ReportRequest{Observer: r.agent.settings.NodeName, Reports: reports}
-	for _, address := range r.judges() {
+	for _, address := range r.reportAddresses() {
 		go r.send(ctx, address, &request)
 	}
 }
 
-// send calls one member. Errors are ignored: the counts are sums, and the next report has them too.
+// send calls one member. Errors are ignored: the counts in reports are totals, so the next report includes what a lost one
+// contained.
 func (r *rolloutReporter) send(ctx context.Context, address string, request *rollout.ReportRequest) {
 	ctx, cancel := context.WithTimeout(ctx, rolloutCallTimeout)
 	defer cancel()
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	response, err := rollout.ReportMethod.Call(ctx, r.client, address, request)
 	if err != nil {
 		return
 	}
-	r.agent.stateActor.Send(func(s *agentState) { s.updates.renewLeases(askedAt, response.Leases) })
+	r.agent.stateActor.Send(func(s *agentState) { s.publisher.renewLeases(requestedAt, response.Leases) })
 }
 
-// judges returns the address of the core member that decides on roll-outs, or those of all core members while it isn't
-// known or not live.
-func (r *rolloutReporter) judges() (addresses []string) {
+// reportAddresses returns the addresses to send reports to: that of the core member that decides on roll-outs, or those of
+// all core members while it isn't known or not ready.
+func (r *rolloutReporter) reportAddresses() (addresses []string) {
 	holder := ""
 	for _, claim := range r.agent.members.RoleClaims() {
 		if claim.Role == rollout.JudgeRole {
--- a/serving/agent/rollouts_test.go
+++ b/serving/agent/rollouts_test.go
@@ -24,24 +24,24 @@
 
 func TestRolloutRelay_ReportsAtIntervalsAndBadAnswersAtOnce(t *testing.T) {
 	var relay rolloutRelay
-	assert.Empty(t, relay.due(timeAfter(0), nil))
-	assert.Empty(t, relay.due(timeAfter(0), &state.Record{}))
+	assert.Empty(t, relay.takeDue(timeAfter(0), nil))
+	assert.Empty(t, relay.takeDue(timeAfter(0), &state.Record{}))
 	record := recordInProgress(4)
-	first := relay.due(timeAfter(time.Second), record)
-	require.Len(t, first, 1, "without a report of the proxy, for the lease")
+	first := relay.takeDue(timeAfter(time.Second), record)
+	require.Len(t, first, 1, "an empty report before the proxy has reported, to get a lease")
 	assert.Equal(t, state.RolloutReport{OrderRevision: 4}, first[0])
-	assert.Empty(t, relay.due(timeAfter(1500*time.Millisecond), record))
+	assert.Empty(t, relay.takeDue(timeAfter(1500*time.Millisecond), record))
 
-	relay.take([]state.RolloutReport{reportWith(4, 1, 0)})
-	assert.Len(t, relay.due(timeAfter(1600*time.Millisecond), record), 1, "of a proxy's new process")
-	relay.take([]state.RolloutReport{reportWith(4, 2, 0)})
-	assert.Empty(t, relay.due(timeAfter(1700*time.Millisecond), record))
-	relay.take([]state.RolloutReport{reportWith(4, 3, 1)})
-	urgent := relay.due(timeAfter(1800*time.Millisecond), record)
-	require.Len(t, urgent, 1, "a bad answer")
+	relay.storeReports([]state.RolloutReport{reportWith(4, 1, 0)})
+	assert.Len(t, relay.takeDue(timeAfter(1600*time.Millisecond), record), 1, "the first report of a new proxy process is sent at once")
+	relay.storeReports([]state.RolloutReport{reportWith(4, 2, 0)})
+	assert.Empty(t, relay.takeDue(timeAfter(1700*time.Millisecond), record))
+	relay.storeReports([]state.RolloutReport{reportWith(4, 3, 1)})
+	urgent := relay.takeDue(timeAfter(1800*time.Millisecond), record)
+	require.Len(t, urgent, 1, "a bad answer is reported at once")
 	assert.EqualValues(t, 3, urgent[0].Sequence)
-	assert.Len(t, relay.due(timeAfter(2800*time.Millisecond), record), 1)
-	relay.due(timeAfter(9*time.Second), recordInProgress(8))
+	assert.Len(t, relay.takeDue(timeAfter(2800*time.Millisecond), record), 1)
+	relay.takeDue(timeAfter(9*time.Second), recordInProgress(8))
 	assert.Empty(t, relay.reports, "reports of roll-outs that have ended are dropped")
 }
 
@@ -56,7 +56,8 @@
 	p.renewLeases(timeAfter(0), []state.RolloutLease{{OrderRevision: 4, Millis: 2500}})
 	second, hasUpdate := p.updateSince(timeAfter(time.Second), proxy.cursor)
 	require.True(t, hasUpdate)
-	assert.Equal(t, []state.RolloutLease{{OrderRevision: 4, Millis: 1500}}, second.RolloutLeases, "counted from the question")
+	assert.Equal(t, []state.RolloutLease{{OrderRevision: 4, Millis: 1500}}, second.RolloutLeases,
+		"the duration counts from the request for the lease")
 	proxy.apply(second)
 	_, hasUpdate = p.updateSince(timeAfter(time.Second), proxy.cursor)
 	assert.False(t, hasUpdate)
--- a/serving/agent/rolloutsupport.go
+++ b/serving/agent/rolloutsupport.go
@@ -9,7 +9,8 @@
 	"rowanlink/serving/rollout"
 )
 
-// supportsRollouts implements rollout.SupportMethod: whether the proxy carries out roll-outs, as far as one is running.
+// supportsRollouts implements rollout.SupportMethod. It reports whether the proxy carries out roll-outs; true if no proxy
+// is running, since there is none then that would ignore them.
 func (a *agent) supportsRollouts(context.Context, *rollout.SupportRequest) (*rollout.SupportResponse, error) {
 	supported, ok := actor.Call(a.stateActor, func(s *agentState) bool {
 		return !s.proxy.isAlive(time.Now()) || s.proxy.supportsRollouts
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -21,19 +21,20 @@
 	"rowanlink/serving/subscription"
 )
 
-// Options of Run.
+// Options configures Run.
 type Options struct {
 	Settings     *settings.Process
 	SettingsPath string // watched for changes
 	Log          *zerolog.Logger
-	PollLoads    bool // be a candidate for the singleton role that polls the loads of the zone's endpoints
+	PollLoads    bool // whether the agent is a candidate for the singleton role that polls the loads of the zone's endpoints
 }
 
-// Run runs an agent until the context ends. It then announces that its proxy is leaving, waits for the proxy to exit
-// within the grace period of the settings, leaves the membership and returns. Errors are errcode.AgentAddressInUse or come
-// from joining the membership.
+// Run runs an agent until the context ends. It then announces that its proxy is leaving, waits until the proxy has exited
+// or the grace period of the settings is nearly over, leaves the membership and returns. Errors are
+// errcode.AgentAddressInUse or those of member.Start.
 func Run(ctx context.Context, options Options) error {
-	runContext, cancel := context.WithCancel(context.WithoutCancel(ctx)) // lasts through the shutdown
+	// runContext outlasts ctx: the shutdown, which begins when ctx ends, still makes and serves calls.
+	runContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	listeners, err := listenOnAll(ctx, options.Settings)
 	if err != nil {
@@ -41,16 +42,16 @@
 	}
 	defer listeners.close()
 
-	innerMux := http.NewServeMux()
-	innerServer := process.Serve(listeners.internal, process.NewInternalServer(innerMux))
-	defer func() { _ = innerServer.Close() }()
+	internalMux := http.NewServeMux()
+	internalServer := process.Serve(listeners.internal, process.NewInternalServer(internalMux))
+	defer func() { _ = internalServer.Close() }()
 	client := rpc.NewClient()
 	defer client.Close()
 	members, err := member.Start(runContext, member.Options{
 		Settings: options.Settings,
 		Self:     initialMember(options.Settings),
 		Client:   client,
-		Mux:      innerMux,
+		Mux:      internalMux,
 		Log:      options.Log,
 	})
 	if err != nil {
@@ -60,16 +61,17 @@
 	members.SetApplier(a.awaitApplied)
 	go a.confirmRecord(runContext, register.QueryOverRPC(client))
 	go a.newRolloutReporter(client).run(runContext)
-	rollout.SupportMethod.Serve(innerMux, a.supportsRollouts)
-	introspect.Serve(innerMux, a.report)
-	innerMux.Handle(metrics.Path, metrics.Handler(introspect.MetricsWriter(a.report)))
+	rollout.SupportMethod.Serve(internalMux, a.supportsRollouts)
+	introspect.Serve(internalMux, a.report)
+	internalMux.Handle(metrics.Path, metrics.Handler(introspect.MetricsWriter(a.report)))
 
 	forwarder := a.newObservationForwarder(client)
 	forward := func(observations []state.Observation) { forwarder.forward(runContext, observations) }
 	closeServers := a.serveProxyAndClients(listeners, forward)
 	defer closeServers()
 	if options.PollLoads {
-		go newLoadPoller(a, members).Run(ctx) // ends with ctx: an agent that shuts down leaves the role to others at once
+		// The poller ends with ctx, so that another agent takes over the role as soon as the shutdown begins.
+		go newLoadPoller(a, members).Run(ctx)
 	}
 	go settings.Watch(runContext, options.SettingsPath, settings.WatchInterval, func(changed *settings.Process) {
 		members.SetSeeds(changed.Seeds)
@@ -80,12 +82,12 @@
 	return nil
 }
 
-// serveProxyAndClients serves the proxy's polls and, if there is a listener for it, the directory until the returned
-// function is called.
+// serveProxyAndClients starts the server of the proxy's polls and, if there is a listener for it, that of the directory.
+// The returned function closes both.
 func (a *agent) serveProxyAndClients(listeners listeners, forward func([]state.Observation)) (closeServers func()) {
-	feedServer := process.Serve(listeners.subscription, &http.Server{Handler: a.subscriptionHandler(forward)})
+	pollServer := process.Serve(listeners.subscription, &http.Server{Handler: a.subscriptionHandler(forward)})
 	if listeners.directory == nil {
-		return func() { _ = feedServer.Close() }
+		return func() { _ = pollServer.Close() }
 	}
 	directoryServer := process.Serve(listeners.directory, &http.Server{
 		Handler:        a.lookupHandler(),
@@ -94,11 +96,12 @@
 	})
 	return func() {
 		_ = directoryServer.Close()
-		_ = feedServer.Close()
+		_ = pollServer.Close()
 	}
 }
 
-// newLoadPoller returns the agent's candidate for polling the loads of the zone's endpoints.
+// newLoadPoller returns a poller that polls the loads of the zone's endpoints while this agent holds the singleton role for
+// that.
 func newLoadPoller(a *agent, members *member.Service) *loadreport.Poller {
 	return loadreport.New(loadreport.Options{
 		Zone:      a.settings.Zone,
@@ -125,7 +128,7 @@
 	}
 }
 
-// initialMember is the agent's member entry until its proxy polls for the first time.
+// initialMember returns the member entry that the agent joins with, which applies until its proxy polls for the first time.
 func initialMember(processSettings *settings.Process) state.Member {
 	return state.Member{
 		Name:    processSettings.NodeName,
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -58,7 +58,8 @@
 	return process, path
 }
 
-// TestRun_OnLoopback runs an agent from start to shutdown: a proxy polls, a client looks up, an operator reads a report.
+// TestRun_OnLoopback runs an agent from start to shutdown. Meanwhile a proxy polls, a client looks up addresses, and an
+// operator fetches a report.
 func TestRun_OnLoopback(t *testing.T) {
 	process, path := newLoopbackSettings(t)
 	ctx, terminate := context.WithCancel(t.Context())
@@ -98,11 +99,11 @@
 
 func TestRun_FailsIfAnAddressIsInUse(t *testing.T) {
 	process, path := newLoopbackSettings(t)
-	occupying, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.SubscriptionAddress())
+	occupant, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", process.SubscriptionAddress())
 	require.NoError(t, err)
-	defer func() { _ = occupying.Close() }()
+	defer func() { _ = occupant.Close() }()
 	cancelled, cancel := context.WithCancel(t.Context())
-	cancel() // without the retries that wait for the previous process to exit
+	cancel() // Run otherwise retries for some time, since the previous process may still be exiting
 	log := zerolog.Nop()
 	err = Run(cancelled, Options{Settings: process, SettingsPath: path, Log: &log})
 	assert.True(t, errcode.AgentAddressInUse.Is(err))
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// coalesceDelay batches changes that arrive close together into one response.
+	// coalesceDelay is how long a poll waits after the first change for further ones, to send them in one response.
 	coalesceDelay = 10 * time.Millisecond
-	// maxPollWait bounds a poll, so that the agent checks the proxy's liveness at least that often.
+	// maxPollWait bounds the duration of a poll. An open poll counts as a sign of life, so a running proxy must start a new
+	// one at least this often.
 	maxPollWait = 10 * time.Second
 )
 
@@ -24,13 +25,13 @@
 	now        func() time.Time
 	// announceProxy announces changes of the proxy's state to other members.
 	announceProxy func()
-	// forwardObservations takes the proxy's observations of endpoints. It doesn't block.
+	// forwardObservations forwards the proxy's observations of endpoints to core members. It doesn't block.
 	forwardObservations func([]state.Observation)
 }
 
-// pollResult is the outcome of one reading of the agent's state.
+// pollResult is what one read of the agent's state returns for a poll.
 type pollResult struct {
-	response  *subscription.Response // nil unless hasUpdate
+	response  *subscription.Response // nil unless hasUpdate is set
 	changed   <-chan struct{}        // closed at the next change
 	hasUpdate bool
 }
@@ -39,19 +40,19 @@
 func (s *subscriptionServer) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	s.stateActor.Send(func(owned *agentState) {
 		owned.proxy.pollOpened(s.now(), request)
-		owned.updates.recordApplied(request.Since)
-		owned.rollouts.take(request.RolloutReports)
+		owned.publisher.recordApplied(request.Since)
+		owned.rollouts.storeReports(request.RolloutReports)
 	})
 	s.announceProxy()
 	s.forwardObservations(request.Observations)
 	defer func() {
-		broken := ctx.Err() != nil
-		s.stateActor.Send(func(owned *agentState) { owned.proxy.pollClosed(s.now(), request.Incarnation, broken) })
+		aborted := ctx.Err() != nil
+		s.stateActor.Send(func(owned *agentState) { owned.proxy.pollClosed(s.now(), request.Incarnation, aborted) })
 	}()
 	return s.awaitUpdate(ctx, request)
 }
 
-// awaitUpdate waits for an update since the request's cursor, for at most the wait that the request allows.
+// awaitUpdate waits for an update since the request's cursor, at most for the request's WaitMillis and maxPollWait.
 func (s *subscriptionServer) awaitUpdate(ctx context.Context, request *subscription.Request) (
 	*subscription.Response, error) {
 	wait := min(time.Duration(request.WaitMillis)*time.Millisecond, maxPollWait)
@@ -76,25 +77,27 @@
 	}
 }
 
-// readUpdate returns the update since the cursor or the channel to wait on; false once the agent has stopped.
+// readUpdate returns the update since the cursor or, if there is none, the channel that is closed at the next change; false
+// once the agent has stopped.
 func (s *subscriptionServer) readUpdate(since subscription.Cursor) (pollResult, bool) {
 	return actor.Call(s.stateActor, func(owned *agentState) pollResult {
 		if owned.withholdsUpdates(s.now()) {
-			return pollResult{changed: owned.updates.changed}
+			return pollResult{changed: owned.publisher.changed}
 		}
-		response, hasUpdate := owned.updates.updateSince(s.now(), since)
-		return pollResult{response: response, changed: owned.updates.changed, hasUpdate: hasUpdate}
+		response, hasUpdate := owned.publisher.updateSince(s.now(), since)
+		return pollResult{response: response, changed: owned.publisher.changed, hasUpdate: hasUpdate}
 	})
 }
 
-// timeoutResponse returns the response to a poll whose wait is over.
+// timeoutResponse returns the response to a poll whose wait is over: an empty one if there is no update, or none may be
+// sent yet.
 func (s *subscriptionServer) timeoutResponse(since subscription.Cursor) (*subscription.Response, error) {
 	response, ok := actor.Call(s.stateActor, func(owned *agentState) *subscription.Response {
-		update, hasUpdate := owned.updates.updateSince(s.now(), since)
+		update, hasUpdate := owned.publisher.updateSince(s.now(), since)
 		if hasUpdate && !owned.withholdsUpdates(s.now()) {
 			return update
 		}
-		return owned.updates.emptyUpdate(since)
+		return owned.publisher.emptyUpdate(since)
 	})
 	if !ok {
 		return nil, errcode.AgentStopping.With("")
