--- a/serving/member/bench_test.go
+++ b/serving/member/bench_test.go
@@ -8,7 +8,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// BenchmarkQuietSecond simulates a quiet second of a large system and reports what one member sends in it.
+// BenchmarkQuietSecond simulates seconds in which nothing changes in a large system, and reports what one member sends in
+// a second.
 func BenchmarkQuietSecond(b *testing.B) {
 	const members, endpoints = 410, 600
 	s := newConvergedSimulation(b, 1, members, threeZones)
@@ -32,7 +33,7 @@
 	b.ReportMetric(float64(s.remoteBytes)/perMember, "remote-bytes/member/s")
 }
 
-// BenchmarkBusySecond is the same with twenty updates of endpoints a second.
+// BenchmarkBusySecond simulates seconds with twenty updates of endpoints each in the same system.
 func BenchmarkBusySecond(b *testing.B) {
 	const members, updates = 410, 20
 	s := newConvergedSimulation(b, 1, members, threeZones)
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -10,24 +10,30 @@
 
 // Limits of the calls to other members.
 const (
-	defaultTimeout  = 400 * time.Millisecond
-	relayedTimeout  = 700 * time.Millisecond  // for a heartbeat that another member has requested
-	relayTimeout    = 1100 * time.Millisecond // for such a request
-	bulkTimeout     = 2 * time.Second         // for a call that carries more than bulkThreshold
-	bulkThreshold   = 64 << 10                // bytes
-	maxRoutineCalls = 12                      // concurrent heartbeats and repairs
-	maxPushCalls    = 24                      // concurrent pushes
-	maxProbeCalls   = 192                     // concurrent probes of unconfirmed members
-	// pushRetryDelay is how long a push may have no response before its entries are sent by another path as well.
+	defaultTimeout = 400 * time.Millisecond
+	// relayedHeartbeatTimeout applies to the heartbeat that a relay sends at another member's request.
+	relayedHeartbeatTimeout = 700 * time.Millisecond
+	// relayRequestTimeout applies to the request to a relay. It is longer than relayedHeartbeatTimeout, which runs meanwhile.
+	relayRequestTimeout = 1100 * time.Millisecond
+	// bulkTimeout applies to pushes that carry more than bulkThreshold, and to the second call of a repair.
+	bulkTimeout   = 2 * time.Second
+	bulkThreshold = 64 << 10 // bytes
+
+	maxRoutineCalls = 12  // concurrent heartbeats and repairs
+	maxPushCalls    = 24  // concurrent pushes
+	maxProbeCalls   = 192 // concurrent probes of unconfirmed members, both direct ones and requests to relays
+
+	// pushRetryDelay is how long a push may have no response before its entries are also sent by another path.
 	pushRetryDelay = 200 * time.Millisecond
 )
 
-// caller makes the calls that the node requests, a bounded number at once. Contexts of its methods end with the
-// service.
+// caller makes the calls that the node decides on, a bounded number at once. The contexts that its methods get end when the
+// service stops; a call that fails because of that isn't recorded as a failure of the other member.
 type caller struct {
-	client       *rpc.Client
-	service      *Service
-	routineSlots chan struct{}
+	client  *rpc.Client
+	service *Service
+	// Semaphores; the capacities bound the concurrent calls.
+	routineSlots chan struct{} // heartbeats and repairs
 	pushSlots    chan struct{}
 	probeSlots   chan struct{}
 }
@@ -42,8 +48,8 @@
 	}
 }
 
-// start starts all calls. A call without a free slot is dropped: heartbeats and repairs recur, and the entries of a
-// push are retried by another path.
+// start starts all calls without waiting for them. A call for which no slot is free is dropped: heartbeats and repairs
+// recur, and the entries of a push are retried by another path.
 func (c *caller) start(ctx context.Context, calls pendingCalls) {
 	for _, call := range calls.heartbeats {
 		startIfFree(c.routineSlots, func() { c.sendHeartbeat(ctx, call, (*node).processHeartbeatFailure) })
@@ -53,7 +59,7 @@
 	}
 	for _, call := range calls.repairs {
 		started := startIfFree(c.routineSlots, func() { c.repair(ctx, call) })
-		if !started && call.seed {
+		if !started && call.toSeed {
 			c.finishSeedCall(call)
 		}
 	}
@@ -64,7 +70,7 @@
 	}
 }
 
-// startIfFree runs the function in a goroutine if a slot is free, and reports whether one was.
+// startIfFree runs the function on a new goroutine if a slot is free, and reports whether one was.
 func startIfFree(slots chan struct{}, run func()) bool {
 	select {
 	case slots <- struct{}{}:
@@ -78,7 +84,7 @@
 	return true
 }
 
-// call makes a call with a time-out.
+// call makes one call, bounded by a time-out.
 func call[Request, Response any](ctx context.Context, c *caller, timeout time.Duration,
 	method rpc.Method[Request, Response], address string, request *Request) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -86,13 +92,14 @@
 	return method.Call(ctx, c.client, address, request)
 }
 
-// sendHeartbeat sends a heartbeat and, where the receiver lacks it, the local member's entry. It reports a heartbeat
-// without a response by failed.
-func (c *caller) sendHeartbeat(ctx context.Context, heartbeat heartbeatCall, failed func(*node, time.Time, gossip.Peer)) {
+// sendHeartbeat sends a heartbeat and, if the receiver needs it, the local member's entry. It calls onFailure, on the node's
+// goroutine, if the heartbeat gets no response.
+func (c *caller) sendHeartbeat(ctx context.Context, heartbeat heartbeatCall,
+	onFailure func(*node, time.Time, gossip.Peer)) {
 	response, err := call(ctx, c, defaultTimeout, heartbeatMethod, heartbeat.to.Address, &heartbeat.request)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.service.run(func(now time.Time, n *node) { failed(n, now, heartbeat.to) })
+			c.service.run(func(now time.Time, n *node) { onFailure(n, now, heartbeat.to) })
 		}
 		return
 	}
@@ -101,11 +108,13 @@
 	})
 	if own != nil {
 		message := gossip.Message{From: c.service.options.Self.Name, Entries: []gossip.Entry{*own}}
-		_, _ = call(ctx, c, defaultTimeout, pushMethod, heartbeat.to.Address, &message) // repeated after the next heartbeat
+		// An error is ignored: the next heartbeat's response requests the entry again.
+		_, _ = call(ctx, c, defaultTimeout, pushMethod, heartbeat.to.Address, &message)
 	}
 }
 
-// startProbe starts the calls of a probe. Those without a free slot are dropped, and reported so.
+// startProbe starts the direct and indirect calls of a probe. If no slot is free for the direct one, the node is told that
+// the probe was cancelled; if none is free for a relay's, that the relay got no response.
 func (c *caller) startProbe(ctx context.Context, probe probeCall) {
 	to := probe.heartbeat.to
 	if !startIfFree(c.probeSlots, func() { c.sendHeartbeat(ctx, probe.heartbeat, (*node).processProbeFailure) }) {
@@ -118,24 +127,25 @@
 	}
 }
 
-// requestProbe requests another member to probe a member. One of a version without this call answers with an error.
+// requestProbe requests a relay to probe a member, and records the result. A relay of a version that doesn't serve this call
+// answers with an error, which counts as no response.
 func (c *caller) requestProbe(ctx context.Context, relay, to gossip.Peer) {
 	request := probeRequest{Member: to.Name}
-	response, err := call(ctx, c, relayTimeout, probeMethod, relay.Address, &request)
+	response, err := call(ctx, c, relayRequestTimeout, probeMethod, relay.Address, &request)
 	responded := err == nil && response.Responded
 	if ctx.Err() == nil {
 		c.service.run(func(now time.Time, n *node) { n.processRelayedProbe(now, to.Name, responded) })
 	}
 }
 
-// relayProbe sends a heartbeat to a member that another member has requested to probe, and reports whether it has
+// relayProbe probes a member at the request of another one: it sends a heartbeat and reports whether the member has
 // responded.
 func (c *caller) relayProbe(ctx context.Context, request *probeRequest) (responded bool) {
 	heartbeat := query(c.service, func(_ time.Time, n *node) *heartbeatCall { return n.newRelayedHeartbeat(request) })
 	if heartbeat == nil {
 		return false
 	}
-	response, err := call(ctx, c, relayedTimeout, heartbeatMethod, heartbeat.to.Address, &heartbeat.request)
+	response, err := call(ctx, c, relayedHeartbeatTimeout, heartbeatMethod, heartbeat.to.Address, &heartbeat.request)
 	if err != nil {
 		return false
 	}
@@ -143,7 +153,8 @@
 	return true
 }
 
-// markUnresponsive records that a peer didn't respond. A seed, of which only the address is known, has no name.
+// markUnresponsive records that a peer didn't respond. It does nothing for a seed that has no name, since only its address
+// is known, and if ctx has ended.
 func (c *caller) markUnresponsive(ctx context.Context, name string) {
 	if ctx.Err() != nil || name == "" {
 		return
@@ -151,7 +162,8 @@
 	c.service.markUnresponsive(name)
 }
 
-// sendPush sends a message and then those of the offered entries that the receiver requests.
+// sendPush sends a message and then those of the offered entries that the receiver requests. The entries are retried by
+// another path, once, if there is no response within pushRetryDelay or one of the calls fails.
 func (c *caller) sendPush(ctx context.Context, envelope gossip.Envelope) {
 	retry := func() { c.service.run(func(now time.Time, n *node) { n.engine.Retry(now, envelope) }) }
 	retryTimer := time.AfterFunc(pushRetryDelay, retry)
@@ -170,7 +182,7 @@
 	}
 }
 
-// sendRequested sends the entries that a receiver requests.
+// sendRequested sends those entries that the receiver of an offer has requested.
 func (c *caller) sendRequested(ctx context.Context, envelope gossip.Envelope, requested []gossip.Header) error {
 	entries := query(c.service, func(_ time.Time, n *node) []gossip.Entry {
 		return n.engine.CollectEntries(requested)
@@ -184,7 +196,7 @@
 	return err
 }
 
-// timeoutFor returns the time-out of a call that carries the entries.
+// timeoutFor returns the time-out of a push of the entries.
 func timeoutFor(entries []gossip.Entry) time.Duration {
 	bytes := 0
 	for _, entry := range entries {
@@ -196,7 +208,7 @@
 	return defaultTimeout
 }
 
-// repair compares digests with a peer and exchanges the entries that one of the two lacks.
+// repair compares digests with a peer and transfers the entries that either lacks.
 func (c *caller) repair(ctx context.Context, repair repairCall) {
 	defer c.finishSeedCall(repair)
 	compared, err := call(ctx, c, defaultTimeout, compareMethod, repair.to.Address, &repair.request)
@@ -224,7 +236,7 @@
 
 // finishSeedCall records that a call to a seed has ended.
 func (c *caller) finishSeedCall(repair repairCall) {
-	if repair.seed {
+	if repair.toSeed {
 		c.service.run(func(_ time.Time, n *node) { n.seeds.finish(repair.to.Address) })
 	}
 }
--- a/serving/member/determinism_test.go
+++ b/serving/member/determinism_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestSimulation_IsDetermined runs the same faults several times: a failed history can only be reproduced and shrunk
-// if nothing but the seed decides.
-func TestSimulation_IsDetermined(t *testing.T) {
+// TestSimulation_IsDeterministic runs the same faults several times with the same seed and expects the same messages.
+// Otherwise a failing sequence of faults could be neither reproduced nor shrunk.
+func TestSimulation_IsDeterministic(t *testing.T) {
 	type outcome struct{ messages, calls int }
 	run := func() (outcomes []outcome) {
 		r := newFaultRun(t, 5, 13)
--- a/serving/member/entries.go
+++ b/serving/member/entries.go
@@ -27,6 +27,7 @@
 	return encode(gossip.TableRoleClaims, claim.Role, gossip.NewVersion(claim.Epoch, 0), claim)
 }
 
+// encode returns an entry with the CBOR encoding of a value.
 func encode(table gossip.TableID, key string, version gossip.Version, value any) (gossip.Entry, error) {
 	data, err := cbor.Marshal(value)
 	if err != nil {
@@ -35,18 +36,20 @@
 	return gossip.Entry{Table: table, Key: key, Version: version, Value: data}, nil
 }
 
-// decode decodes the value of an entry.
+// decode returns the decoded value of an entry.
 func decode[Value any](entry gossip.Entry) (value Value, err error) {
 	err = cbor.Unmarshal(entry.Value, &value)
 	return value, errors.Wrapf(err, "decode entry %q", entry.Key)
 }
 
-// endpointState is the part of an encoded state.Endpoint that records whether it has departed.
+// endpointState decodes only the State field of an encoded state.Endpoint, with that field's key. It shows whether the
+// endpoint has departed.
 type endpointState struct {
 	State state.EndpointState `cbor:"7,keyasint"`
 }
 
-// isTombstone reports whether an entry marks its key as deleted.
+// isTombstone reports whether an entry is a tombstone, which marks its key as deleted: a member that has left, an endpoint
+// that has departed, or a suspicion that was withdrawn.
 func isTombstone(entry gossip.Entry) bool {
 	switch entry.Table {
 	case gossip.TableMembers:
--- a/serving/member/fuzz_test.go
+++ b/serving/member/fuzz_test.go
@@ -18,7 +18,7 @@
 
 var fuzzStart = time.Unix(1_000_000, 0)
 
-// newFuzzMember returns a member.
+// newFuzzMember returns a ready core member.
 func newFuzzMember(name, zone string) state.Member {
 	return state.Member{Name: name, Incarnation: 5, Sequence: 1, Role: state.RoleCore, Zone: zone, Region: "r",
 		Address: name + ":1", State: state.MemberReady}
@@ -40,7 +40,7 @@
 	return n
 }
 
-// requireStableEncoding checks that a decoded message stays the same when it is encoded and decoded decoded.
+// requireStableEncoding checks that a decoded message stays the same when it is encoded and decoded again.
 func requireStableEncoding[Message any](t *testing.T, message *Message) {
 	t.Helper()
 	written, err := cbor.Marshal(message)
@@ -52,18 +52,18 @@
 	assert.Equal(t, written, rewritten)
 }
 
-// handleDecoded decodes a message of the type and, where that works, lets the node respond to it.
-func handleDecoded[Message any](t *testing.T, data []byte, answer func(*Message)) {
+// handleDecoded decodes the data as a message of the type and, if that succeeds, passes the message to the handler.
+func handleDecoded[Message any](t *testing.T, data []byte, handle func(*Message)) {
 	var message Message
 	if cbor.Unmarshal(data, &message) != nil {
 		return
 	}
 	requireStableEncoding(t, &message)
-	answer(&message)
+	handle(&message)
 }
 
-// requireWorkingNode checks that the node still works: it knows itself, its timer runs, and the checksums of its tables
-// are those of their entries, so that a member that has received all of them agrees with it.
+// requireWorkingNode checks that the node still works: its own entry is unchanged, ticks and the messages that it sends work,
+// and the checksums of its tables match their entries, so that a member that has received all of them has equal checksums.
 func requireWorkingNode(t *testing.T, n *node) {
 	self := n.members.Self()
 	assert.Equal(t, "self", self.Name)
@@ -90,7 +90,7 @@
 	n.acquireRole(fuzzStart, "repair", singleton.Scope{Role: state.RoleCore})
 }
 
-// FuzzMessages checks that the node responds and continues to work, whatever a member sends.
+// FuzzMessages checks that the node still works after any message or response that another member may send.
 func FuzzMessages(f *testing.F) {
 	entry, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
@@ -129,7 +129,7 @@
 	})
 }
 
-// FuzzEntries checks that the node still works, whatever the entries of any table contain.
+// FuzzEntries checks that the node still works after it has received any entry of any table.
 func FuzzEntries(f *testing.F) {
 	member, err := memberEntry(newFuzzMember("e", "z2"))
 	require.NoError(f, err)
--- a/serving/member/handlers.go
+++ b/serving/member/handlers.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// servePush stores the entries of a message. Where the sender requests that, it responds only once they are on disk, or
-// once this process has applied them.
+// servePush stores the entries of a message. If the sender requests it, servePush responds only once the entries are on
+// disk (Message.Durable), or once this process has applied those that the message names (Message.Await).
 func (s *Service) servePush(ctx context.Context, message *gossip.Message) (*pushResponse, error) {
 	response, err := respond(s, func(now time.Time, n *node) pushResponse { return n.handlePush(now, *message) })
 	if err != nil {
@@ -46,7 +46,7 @@
 	return response, nil
 }
 
-// respond executes a command on the node and returns its result; errcode.MembershipClosed after Close.
+// respond runs a command on the node's goroutine and returns its result; errcode.MembershipClosed after Close.
 func respond[Response any](s *Service, command func(now time.Time, n *node) Response) (*Response, error) {
 	response, ok := actor.Call(s.actor, func(n *node) Response {
 		response := command(time.Now(), n)
--- a/serving/member/loop.go
+++ b/serving/member/loop.go
@@ -8,7 +8,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// loop ticks the node when its timer fires or wakeIfDue wakes it, and starts the calls that are due.
+// loop ticks the node when the timer fires or wakeIfDue wakes the loop, and starts the calls that the tick returns. It runs
+// until ctx ends.
 func (s *Service) loop(ctx context.Context) {
 	defer close(s.done)
 	timer := time.NewTimer(0)
@@ -33,8 +34,8 @@
 	}
 }
 
-// all returns the entries of a table, in no order.
-func (n *node) all(table gossip.TableID) []gossip.Entry {
+// tableEntries returns the entries of a table, in no order.
+func (n *node) tableEntries(table gossip.TableID) []gossip.Entry {
 	entries := make([]gossip.Entry, 0, n.engine.Len(table))
 	n.engine.All(table, func(entry gossip.Entry) bool {
 		entries = append(entries, entry)
--- a/serving/member/massloss_test.go
+++ b/serving/member/massloss_test.go
@@ -11,17 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// massLossDetectionLimit is how long after its end a machine may still be named to clients: `contact_ms` and 3 s (rule
-// DRAIN of the users' page NEWS-22).
+// massLossDetectionLimit is how long after a machine was lost clients may still get its address: `contact_ms` and 3 s,
+// according to rule DRAIN of the users' page NEWS-22.
 const massLossDetectionLimit = 4*time.Second + 3*time.Second
 
-// massLoss is a loss of many machines of a simulation, and what must hold afterwards.
+// massLoss is a simulation in which many machines are lost. It records when, and checks that the losses are detected.
 type massLoss struct {
 	*simulation
 	lostAt map[*simNode]time.Time
 }
 
-// newMassLoss returns machines that know each other. Their names, which determine who watches whom, are drawn.
+// newMassLoss returns a simulation in which all members know each other. Number, locations and names of the machines are
+// generated; the names determine which member watches which.
 func newMassLoss(rt *rapid.T) *massLoss {
 	locations := rapid.SampledFrom([][]location{
 		threeZones,
@@ -42,7 +43,7 @@
 	return &massLoss{simulation: s, lostAt: map[*simNode]time.Time{}}
 }
 
-// lose ends a machine's process or cuts its power.
+// lose kills a machine's process or cuts the machine's power.
 func (m *massLoss) lose(n *simNode, powerLoss bool) {
 	if powerLoss {
 		m.powerOff(n)
@@ -52,8 +53,7 @@
 	m.lostAt[n] = m.now
 }
 
-// runChecked advances the simulation. All the while nobody sees a machine live that was lost longer ago than
-// massLossDetectionLimit, nor a running one down.
+// runChecked advances the simulation and checks it every 100 ms, see check.
 func (m *massLoss) runChecked(span time.Duration) {
 	for end := m.now.Add(span); m.now.Before(end); {
 		m.run(min(100*time.Millisecond, end.Sub(m.now)))
@@ -61,22 +61,24 @@
 	}
 }
 
+// check requires that no running member sees a machine as live that was lost more than massLossDetectionLimit ago, or one
+// as down that is running.
 func (m *massLoss) check() {
 	for _, observer := range m.runningNodes() {
 		for n, lostAt := range m.lostAt {
 			isLate := m.now.Sub(lostAt) > massLossDetectionLimit
-			require.False(m.t, isLate && isSeenLive(observer, n), "%s sees %s live %v after its loss",
+			require.False(m.t, isLate && isSeenLive(observer, n), "%s sees %s as live %v after its loss",
 				observer.member.Name, n.member.Name, m.now.Sub(lostAt))
 		}
 		for _, other := range m.runningNodes() {
-			require.False(m.t, observer.node.members.IsDown(other.member.Name), "%s sees %s down, which runs",
+			require.False(m.t, observer.node.members.IsDown(other.member.Name), "%s sees %s as down, which is running",
 				observer.member.Name, other.member.Name)
 		}
 	}
 }
 
-// TestMembers_MassLossIsDetectedInTime loses a drawn share of drawn machines, at once or one after the other. Guards
-// against members that go unnoticed since their watchers, and the watchers of these, are lost with them.
+// TestMembers_MassLossIsDetectedInTime loses some or nearly all machines, at once or one after the other. It guards against
+// lost members that stay undetected because their watchers, and the watchers of those, are lost with them.
 func TestMembers_MassLossIsDetectedInTime(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMassLoss(rt)
@@ -89,6 +91,6 @@
 			m.runChecked(interval)
 		}
 		m.runChecked(massLossDetectionLimit + 8*time.Second)
-		require.True(rt, m.hasConverged(), "all agree who is live")
+		require.True(rt, m.hasConverged(), "all members agree which are live")
 	})
 }
--- a/serving/member/messages.go
+++ b/serving/member/messages.go
@@ -1,5 +1,6 @@
-// Package member runs the gossip, the membership and the singleton roles of one process, which makes it a member of the
-// system: it makes the calls that these state machines request, serves those of other members and runs the timer.
+// Package member makes a process a member of the system. The state machines of packages gossip, membership and singleton
+// decide what to do, without I/O. This package combines them in one node, runs the node on a goroutine with a timer, makes
+// the calls to other members that the node decides on, and serves the calls of other members.
 package member
 
 import (
@@ -8,7 +9,7 @@
 	"rowanlink/serving/rpc"
 )
 
-// The calls between members. The procedures have the former name of the package.
+// The calls between members. Their names on the wire contain "mesh", the former name of this package.
 var (
 	heartbeatMethod = rpc.Method[heartbeatRequest, heartbeatResponse]{Procedure: "/rowanlink.mesh.v1/Heartbeat"}
 	pushMethod      = rpc.Method[gossip.Message, pushResponse]{Procedure: "/rowanlink.mesh.v1/Push"}
@@ -17,7 +18,8 @@
 	transferMethod  = rpc.Method[transferRequest, transferResponse]{Procedure: "/rowanlink.mesh.v1/Transfer"}
 )
 
-// heartbeatRequest shows a watcher that the sender is alive, and carries the checksums of its tables.
+// heartbeatRequest shows the receiver, mostly a watcher of the sender, that the sender is alive. It carries the checksums of
+// the sender's tables.
 type heartbeatRequest struct {
 	Heartbeat membership.Heartbeat `cbor:"1,keyasint"`
 	Summary   gossip.Summary       `cbor:"2,keyasint"`
@@ -26,15 +28,16 @@
 // heartbeatResponse acknowledges a heartbeat.
 type heartbeatResponse struct {
 	Ack             membership.HeartbeatAck `cbor:"1,keyasint"`
-	DifferingTables []gossip.TableID        `cbor:"2,keyasint,omitempty"` // with other checksums at the receiver
+	DifferingTables []gossip.TableID        `cbor:"2,keyasint,omitempty"` // whose checksums differ at the receiver
 }
 
-// probeRequest requests the receiver to send a heartbeat to a member that doesn't respond to the sender.
+// probeRequest requests the receiver to probe a member for the sender: to send it a heartbeat and report whether it has
+// responded.
 type probeRequest struct {
 	Member string `cbor:"1,keyasint"`
 }
 
-// probeResponse says whether the member has responded. One that the receiver doesn't know hasn't.
+// probeResponse reports whether the member has responded to the relay. It hasn't if the relay doesn't know it.
 type probeResponse struct {
 	Responded bool `cbor:"1,keyasint,omitempty"`
 }
@@ -62,7 +65,7 @@
 	From    string          `cbor:"1,keyasint"`
 	Entries []gossip.Entry  `cbor:"2,keyasint,omitempty"`
 	Missing []gossip.Header `cbor:"3,keyasint,omitempty"`
-	// Ack notifies the receiver, which has just responded, whether it has to refute that it is down.
+	// Ack tells the receiver, which has just responded to the first call, whether it has to refute that it is down.
 	Ack membership.HeartbeatAck `cbor:"4,keyasint"`
 	// Expired names the entries that have expired at the sender, but not at the receiver.
 	Expired []gossip.Header `cbor:"5,keyasint,omitempty"`
--- a/serving/member/node.go
+++ b/serving/member/node.go
@@ -13,8 +13,8 @@
 	"rowanlink/serving/state"
 )
 
-// node is the state machine of one member: all that it knows and decides, without I/O. It is not safe for concurrent
-// use.
+// node is the state machine of one member. It holds all of the member's state and makes its decisions without I/O: methods
+// get the time as an argument and return the calls to make. It isn't safe for concurrent use.
 type node struct {
 	engine   *gossip.Engine
 	members  *membership.Table
@@ -24,29 +24,33 @@
 	log      *zerolog.Logger
 	schedule schedule
 
-	now             time.Time              // time of the current step
-	forgotten       map[string]gossip.Peer // members that others know and that were removed here
-	stalePeers      bool                   // the live members have changed since SetPeers
-	earlierSelf     *state.Member          // a newer version of the local member, of an earlier process
-	staleSuspicions []membership.Suspicion // of an earlier incarnation, to be withdrawn
-	selfRefuted     bool                   // the local member's sequence was raised, to be gossiped
+	now       time.Time              // time of the current step
+	forgotten map[string]gossip.Peer // members that were removed here, though others still have their entries
+	// stalePeers is set if the live members have changed, so that the engine's peers must be updated.
+	stalePeers bool
+	// earlierSelf is a received entry of the local member that is newer than the node's own, or nil. An earlier process
+	// issued it, whose clock was ahead of the present one.
+	earlierSelf     *state.Member
+	staleSuspicions []membership.Suspicion // issued by an earlier incarnation of this member, to be withdrawn
+	selfRefuted     bool                   // the local member's sequence was raised, and must be gossiped
 	wakeAt          time.Time              // when the timer loop ticks next
 }
 
 // schedule holds the due times of a node's periodic actions.
 type schedule struct {
-	heartbeat      time.Time
-	heartbeatCount uint64
-	retryRemote    bool // a heartbeat to another region was lost: the next ones go there without delay
-	downProbe      time.Time
-	downProbeCount int // of the members that the next probe calls
-	suspicionProbe time.Time
-	confirmProbe   time.Time
-	sizeLog        time.Time
-	loggedSize     int
-}
-
-// incarnationJitter keeps two processes that supersede the same earlier incarnation at once from choosing the same one.
+	heartbeat         time.Time
+	heartbeatCount    uint64 // intervals so far
+	retryRemote       bool   // a heartbeat to another region got no response: the next interval's go to other regions too
+	downProbe         time.Time
+	downProbeCount    int // number of members that the next down probe calls
+	suspicionProbe    time.Time
+	confirmationProbe time.Time
+	sizeLog           time.Time
+	loggedSize        int // number of live members that was logged last
+}
+
+// incarnationJitter bounds the random number that is added to a raised incarnation, so that two processes of the same name
+// that supersede the same earlier incarnation at once don't choose the same new one.
 const incarnationJitter = 1 << 16
 
 // nodeOptions configures a node.
@@ -99,14 +103,14 @@
 	entry.Send()
 }
 
-// step executes one action and then finishStep.
+// step runs one action at the given time, and then what the action has deferred, see finishStep.
 func (n *node) step(now time.Time, action func()) {
 	n.now = now
 	action()
 	n.finishStep()
 }
 
-// finishStep does what the tables' listeners have deferred, since the tables must not change while they call.
+// finishStep does what the listeners of the tables have deferred: a listener must not change the tables while they call it.
 func (n *node) finishStep() {
 	if n.earlierSelf != nil {
 		n.supersedeEarlierSelf(*n.earlierSelf)
@@ -128,7 +132,7 @@
 	}
 }
 
-// supersedeEarlierSelf raises the local incarnation above that of an earlier process with the same name.
+// supersedeEarlierSelf raises the local incarnation above that of an earlier process with the same name, and gossips it.
 func (n *node) supersedeEarlierSelf(earlier state.Member) {
 	event.IncarnationRaised.Log(n.log).Uint64("earlier", earlier.Incarnation).Send()
 	raised := earlier.Incarnation + 1 + n.random.Uint64N(incarnationJitter)
@@ -150,12 +154,12 @@
 	return gossip.Peer{Name: member.Name, Address: member.Address, Zone: member.Zone, Region: member.Region}
 }
 
-// putLocal stores and gossips an entry of the local process.
+// putLocal stores and gossips an entry that comes from the local process.
 func (n *node) putLocal(now time.Time, entry gossip.Entry) {
 	n.step(now, func() { n.engine.PutLocal(now, entry) })
 }
 
-// publishSuspicion gossips a suspicion or withdrawal of the local member.
+// publishSuspicion gossips a suspicion or withdrawal that the local member has issued.
 func (n *node) publishSuspicion(suspicion membership.Suspicion) {
 	entry, err := suspicionEntry(suspicion)
 	if err != nil {
@@ -183,7 +187,8 @@
 	})
 }
 
-// mergeMember applies a member's entry.
+// mergeMember applies a member's entry. A newer entry of the local member itself comes from an earlier process and is
+// superseded in finishStep.
 func (n *node) mergeMember(entry gossip.Entry) {
 	member, err := decode[state.Member](entry)
 	if err != nil || member.Name != entry.Key {
@@ -200,7 +205,8 @@
 	n.members.MergeMember(n.now, member)
 }
 
-// mergeSuspicion applies a suspicion's entry.
+// mergeSuspicion applies a suspicion's entry. One that an earlier incarnation of the local member issued is withdrawn in
+// finishStep, since no process would otherwise withdraw it.
 func (n *node) mergeSuspicion(entry gossip.Entry) {
 	suspicion, err := decode[membership.Suspicion](entry)
 	if err != nil {
--- a/serving/member/node_test.go
+++ b/serving/member/node_test.go
@@ -13,10 +13,10 @@
 	"rowanlink/serving/state"
 )
 
-// sizes are the numbers of members of the simulations.
+// sizes are the numbers of members of the simulations in runForSizes.
 var sizes = []int{10, 60}
 
-// runForSizes runs a scenario with each size and a few seeds.
+// runForSizes runs a scenario with each of the sizes and with several seeds, as parallel subtests.
 func runForSizes(t *testing.T, scenario func(t *testing.T, size int, seed uint64)) {
 	for _, size := range sizes {
 		seeds := uint64(4)
@@ -59,8 +59,8 @@
 	const size = 100_000
 	s.putRecord(s.nodes[5], 1, size)
 	s.runUntil(time.Second, "the record reaches all", s.hasRevisionEverywhere(1))
-	assert.Less(t, s.bytes, 2*60*size, "most members get a long value once")
-	assert.Less(t, s.remoteBytes, 5*size, "few copies go to the other region")
+	assert.Less(t, s.bytes, 2*60*size, "most members receive a long value only once")
+	assert.Less(t, s.remoteBytes, 5*size, "few copies of a long value are sent to the other region")
 }
 
 // partitionBetween blocks all messages between two zones.
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other as down, the smaller
-// one too.
+// TestNode_PartitionedZoneMarksOthersDown checks that both sides of a partition mark each other's members as down, including
+// the smaller side.
 func TestNode_PartitionedZoneMarksOthersDown(t *testing.T) {
 	runForSizes(t, func(t *testing.T, size int, seed uint64) {
 		s := newConvergedSimulation(t, seed, size, threeZones)
@@ -140,13 +140,13 @@
 			return !slices.ContainsFunc(s.inZone("b"), func(n *simNode) bool { return isSeenLive(outside, n) })
 		})
 		s.run(10 * time.Second)
-		assert.True(t, isSeenLive(inside, s.inZone("b")[1]), "inside the zone the members are live for each other")
+		assert.True(t, isSeenLive(inside, s.inZone("b")[1]), "members of the partitioned zone still see each other as live")
 		s.putRecord(outside, 5, 300)
 		s.run(time.Second)
 		s.blocked = func(_, _ *simNode) bool { return false }
 		elapsed := s.runUntil(2*time.Second, "the record crosses the healed partition", s.hasRevisionEverywhere(5))
 		t.Log("record crossed after", elapsed)
-		elapsed = s.runUntil(3*time.Second, "all members are live for all", s.hasConverged)
+		elapsed = s.runUntil(3*time.Second, "all members see each other as live", s.hasConverged)
 		t.Log("converged after further", elapsed)
 	})
 }
@@ -158,11 +158,12 @@
 	_, known := s.inZone("a")[0].node.members.Member(s.inZone("c")[0].member.Name)
 	assert.False(t, known, "a member that has long been down is removed")
 	s.blocked = func(_, _ *simNode) bool { return false }
-	s.runUntil(8*time.Second, "all members are live for all", s.hasConverged)
+	s.runUntil(8*time.Second, "all members see each other as live", s.hasConverged)
 }
 
-// TestNode_LoneMemberFindsAllAgainSoon partitions a zone with a single member from all others. It marks all of them as
-// down, and afterwards sees them again sooner than by one call in each downProbeInterval.
+// TestNode_LoneMemberFindsAllAgainSoon partitions a zone with a single member from all others, which that member marks as
+// down. After the partition has healed it must see all of them as live again sooner than one call in each downProbeInterval
+// would allow.
 func TestNode_LoneMemberFindsAllAgainSoon(t *testing.T) {
 	locations := []location{{"b", "west"}}
 	for range 15 {
@@ -174,7 +175,7 @@
 	s.run(20 * time.Second)
 	assert.Len(t, lone.node.members.LiveMembers(), 1)
 	s.blocked = func(_, _ *simNode) bool { return false }
-	elapsed := s.runUntil(3*time.Second, "all members are live for all", s.hasConverged)
+	elapsed := s.runUntil(3*time.Second, "all members see each other as live", s.hasConverged)
 	t.Log("converged after", elapsed)
 }
 
@@ -192,7 +193,7 @@
 			return true
 		})
 		s.blocked = func(_, _ *simNode) bool { return false }
-		s.runUntil(3*time.Second, "it rejoins", s.hasConverged)
+		s.runUntil(3*time.Second, "the member rejoins", s.hasConverged)
 	})
 }
 
@@ -201,13 +202,13 @@
 		s := newConvergedSimulation(t, seed, size, threeZones)
 		frozen := s.nodes[4]
 		s.freeze(frozen, 4*time.Second)
-		s.runUntil(3*time.Second, "it is down", func() bool { return !isSeenLive(s.nodes[0], frozen) })
+		s.runUntil(3*time.Second, "the frozen member is down", func() bool { return !isSeenLive(s.nodes[0], frozen) })
 		s.run(frozen.frozenUntil.Sub(s.now))
-		elapsed := s.runUntil(3*time.Second, "it has rejoined", s.hasConverged)
+		elapsed := s.runUntil(3*time.Second, "the frozen member has rejoined", s.hasConverged)
 		t.Log("rejoined after", elapsed)
 		for range 40 {
 			s.run(50 * time.Millisecond)
-			assert.True(t, s.hasConverged(), "it suspects no member after its suspension")
+			assert.True(t, s.hasConverged(), "the frozen member must not mark others as down after it resumes")
 		}
 	})
 }
@@ -295,8 +296,9 @@
 	}
 }
 
-// TestNode_LateMemberExpiresWithOthers checks a member that receives a departure later than its peers. They must not
-// find a difference at each heartbeat until it has retained the departed member as long as they have.
+// TestNode_LateMemberExpiresWithOthers checks a member that learns of departures later than its peers, since it wasn't
+// running. It must remove the departed members when its peers do: if it retained them as long as they did, counted from its
+// start, each heartbeat until then would find a difference.
 func TestNode_LateMemberExpiresWithOthers(t *testing.T) {
 	s := newConvergedSimulation(t, 5, 10, threeZones)
 	dead := s.nodes[8]
--- a/serving/member/notifier.go
+++ b/serving/member/notifier.go
@@ -7,11 +7,12 @@
 	"rowanlink/serving/gossip"
 )
 
-// notifier calls subscribers one at a time outside of the node's goroutine, so that they may use the service.
+// notifier calls subscribers one at a time, in the order of add. It calls them on a goroutine other than the node's, so that
+// they may call methods of the Service.
 type notifier struct {
 	mutex sync.Mutex
 	queue []notification
-	wake  chan struct{}
+	wake  chan struct{} // signals that queue isn't empty
 }
 
 // notification is one pending call of a subscriber.
@@ -22,7 +23,7 @@
 
 func newNotifier() *notifier { return &notifier{wake: make(chan struct{}, 1)} }
 
-// add queues a call.
+// add queues a call of a subscriber. It doesn't block.
 func (n *notifier) add(call func(gossip.Entry), entry gossip.Entry) {
 	n.mutex.Lock()
 	n.queue = append(n.queue, notification{call: call, entry: entry})
--- a/serving/member/probes.go
+++ b/serving/member/probes.go
@@ -9,11 +9,12 @@
 
 // Intervals of the probes.
 const (
-	suspicionProbeInterval    = 250 * time.Millisecond // between two rounds of probes of doubtful members and zones
-	confirmationProbeInterval = 250 * time.Millisecond // between two rounds of probes of unconfirmed members
+	suspicionProbeInterval    = 250 * time.Millisecond // between two rounds of planSuspicionProbes
+	confirmationProbeInterval = 250 * time.Millisecond // between two rounds of planConfirmationProbes
 )
 
-// planSuspicionProbes requests a repair with the members that have to be probed before they are marked as down.
+// planSuspicionProbes adds repairs to the calls with suspected members, and members of suspect zones, that have to be probed
+// before they may be marked as down. A member that responds also learns that it has to refute suspicions.
 func (n *node) planSuspicionProbes(calls *pendingCalls) {
 	if n.now.Before(n.schedule.suspicionProbe) || n.members.Self().State == state.MemberLeft {
 		return
@@ -27,15 +28,16 @@
 	}
 }
 
-// planConfirmationProbes requests a heartbeat to members of whose life there is no evidence.
+// planConfirmationProbes adds probes of unconfirmed members to the calls: nobody suspects such a member, but there is no
+// recent evidence either that it is alive, because its watchers may have died with it.
 func (n *node) planConfirmationProbes(calls *pendingCalls) {
-	if n.now.Before(n.schedule.confirmProbe) || n.members.Self().State == state.MemberLeft {
+	if n.now.Before(n.schedule.confirmationProbe) || n.members.Self().State == state.MemberLeft {
 		return
 	}
 	if !n.members.HasUnconfirmed() {
 		return
 	}
-	n.schedule.confirmProbe = n.now.Add(confirmationProbeInterval)
+	n.schedule.confirmationProbe = n.now.Add(confirmationProbeInterval)
 	request := n.newHeartbeatRequest()
 	for _, probe := range n.members.UnconfirmedToProbe(n.now, n.shuffleMembers) {
 		call := probeCall{heartbeat: heartbeatCall{to: peerOf(probe.Member), request: request}}
@@ -46,19 +48,20 @@
 	}
 }
 
-// processProbeFailure records that a member didn't respond to a probe.
+// processProbeFailure records that a member didn't respond to a direct probe.
 func (n *node) processProbeFailure(now time.Time, to gossip.Peer) {
 	n.engine.MarkUnresponsive(now, to.Name)
 	n.members.RecordProbeFailure(now, to.Name)
 }
 
-// processRelayedProbe records a relay's answer about a member, or that it gave none.
+// processRelayedProbe records the result of an indirect probe: whether the member responded to the relay. If the relay
+// itself didn't answer, responded is false.
 func (n *node) processRelayedProbe(now time.Time, name string, responded bool) {
 	n.step(now, func() { n.members.RecordRelayedProbe(now, name, responded) })
 }
 
-// newRelayedHeartbeat returns the heartbeat to a member that another member has requested to probe; nil where the member
-// isn't known.
+// newRelayedHeartbeat returns the heartbeat with which the local member, as a relay, probes a member at the request of
+// another one; nil if the member to probe isn't known.
 func (n *node) newRelayedHeartbeat(request *probeRequest) *heartbeatCall {
 	member, known := n.members.Member(request.Member)
 	if !known {
@@ -72,13 +75,13 @@
 	n.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 }
 
-// nextProbe returns the earlier of a time and that of the next round of probes.
+// nextProbe returns the time of the next round of probes, or the given time if that is earlier.
 func (n *node) nextProbe(next time.Time) time.Time {
 	if n.members.HasMembersToProbe() && n.schedule.suspicionProbe.Before(next) {
 		next = n.schedule.suspicionProbe
 	}
-	if n.members.HasUnconfirmed() && n.schedule.confirmProbe.Before(next) {
-		next = n.schedule.confirmProbe
+	if n.members.HasUnconfirmed() && n.schedule.confirmationProbe.Before(next) {
+		next = n.schedule.confirmationProbe
 	}
 	return next
 }
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,11 +10,12 @@
 	"rowanlink/serving/membership"
 )
 
-// stabilizationPeriod is how long a member and its paths must have been free of faults before a decision about it is
-// checked. It is longer than any suspicion timeout, so that all heartbeats that a fault had stopped have arrived again.
+// stabilizationPeriod is how long a machine and its paths must have been free of faults before the tests require that
+// members judge it correctly. It is longer than any suspicion timeout, so that heartbeats arrive regularly again after a
+// fault that had stopped them.
 const stabilizationPeriod = 6 * time.Second
 
-// path is one direction between two zones.
+// path is the path from one zone to another, in this direction only.
 type path struct{ from, to string }
 
 func (p path) reverse() path { return path{from: p.to, to: p.from} }
@@ -22,14 +23,14 @@
 // faultRun injects generated faults into a simulation and records where and when they happened.
 type faultRun struct {
 	*simulation
-	revision      uint64
+	revision      uint64 // of the newest record
 	blockedPaths  map[path]bool
-	nodeFaultAt   map[*simNode]time.Time
-	pathFaultAt   map[path]time.Time
-	lossChangedAt time.Time
+	nodeFaultAt   map[*simNode]time.Time // last fault or restart; the end of a freeze, which may be in the future
+	pathFaultAt   map[path]time.Time     // when the path was last blocked or unblocked
+	lossChangedAt time.Time              // when the loss rate or the jitter was last changed
 }
 
-// newFaultRun returns a run with members that all know each other.
+// newFaultRun returns a run in which all members know each other and there are no faults yet.
 func newFaultRun(t reporter, seed uint64, size int) *faultRun {
 	s := newConvergedSimulation(t, seed, size, threeZones)
 	r := &faultRun{
@@ -95,18 +96,18 @@
 	}
 }
 
-// maxJitterMillis is the greatest jitter in milliseconds, with which several messages may overtake each other.
+// maxJitterMillis is the greatest generated jitter in milliseconds. It lets a message be overtaken by several later ones.
 const maxJitterMillis = 300
 
-// restartWithEarlierClock kills a machine's process and starts it with a clock that was set back, so that its
-// incarnation is lower than that of its predecessor.
+// restartWithEarlierClock kills a machine's process and starts it again after the clock was set back, so that the new
+// process may begin with a lower incarnation than the previous one.
 func (r *faultRun) restartWithEarlierClock(n *simNode, seconds int) {
 	r.kill(n)
 	r.startAs(n, uint64(r.now.Add(-time.Duration(seconds)*time.Second).UnixNano()))
 	r.nodeFaultAt[n] = r.now
 }
 
-// runChecked advances the simulation and checks all the while that no member is wrongly marked as down.
+// runChecked advances the simulation and checks every 200 ms that no member is wrongly marked as down.
 func (r *faultRun) runChecked(span time.Duration) {
 	for end := r.now.Add(span); r.now.Before(end); {
 		r.run(min(200*time.Millisecond, end.Sub(r.now)))
@@ -126,7 +127,8 @@
 	r.setBlocked(p.reverse(), true)
 }
 
-// requireRecovery ends all faults and requires that all members converge and stay so.
+// requireRecovery ends all faults and requires that all members see each other as live, have the same tables, and that it
+// stays so.
 func (r *faultRun) requireRecovery() {
 	r.repairAll()
 	frozen := time.Duration(0)
@@ -134,7 +136,7 @@
 		frozen = max(frozen, n.frozenUntil.Sub(r.now))
 	}
 	r.run(frozen)
-	r.runUntil(5*time.Second, "all members are live for all", r.hasConverged)
+	r.runUntil(5*time.Second, "all members see each other as live", r.hasConverged)
 	r.runUntil(2*time.Second, "the newest record is everywhere", r.hasRevisionEverywhere(r.revision))
 	r.runUntil(3*time.Second, "all tables are equal", r.hasEqualTables)
 	r.run(2 * membership.SuspicionTimeout)
@@ -147,7 +149,7 @@
 	r.pathFaultAt[p] = r.now
 }
 
-// restart starts a machine's process unless it runs.
+// restart starts a machine's process unless it is running.
 func (r *faultRun) restart(n *simNode) {
 	if !n.running {
 		r.start(n)
@@ -155,7 +157,7 @@
 	}
 }
 
-// putNewest puts a newer record into a running machine.
+// putNewest puts the next revision of the record into a random running machine.
 func (r *faultRun) putNewest() {
 	if running := r.runningNodes(); len(running) > 0 {
 		r.revision++
@@ -163,7 +165,7 @@
 	}
 }
 
-// repairAll ends all faults.
+// repairAll ends all faults except freezes, and puts a newer record.
 func (r *faultRun) repairAll() {
 	r.lossRate = 0
 	r.jitter = 0
@@ -174,7 +176,8 @@
 	r.putNewest()
 }
 
-// isHealthyBetween reports whether two machines have been able to reach each other for stabilizationPeriod.
+// isHealthyBetween reports whether two machines and the paths between them have been free of faults for
+// stabilizationPeriod.
 func (r *faultRun) isHealthyBetween(x, y *simNode) bool {
 	for _, n := range []*simNode{x, y} {
 		if !n.running || r.now.Sub(r.nodeFaultAt[n]) < stabilizationPeriod {
@@ -199,8 +202,8 @@
 	return nil
 }
 
-// checkNoneWronglyDown fails where a member, the observer, has marked another as down although most of that one's
-// watchers receive its heartbeats and the observer receives the watchers' messages.
+// checkNoneWronglyDown fails if a member, the observer, has another member marked as down although most of the other's
+// watchers receive its heartbeats and the observer receives messages from these watchers.
 func (r *faultRun) checkNoneWronglyDown() {
 	if r.lossRate > 0 || r.now.Sub(r.lossChangedAt) < stabilizationPeriod {
 		return
@@ -219,7 +222,7 @@
 				}
 			}
 			if 2*receiving > len(watchers) {
-				require.Failf(r.t, "a healthy member is marked as down", "%s has %s so though %d watchers receive its heartbeats",
+				require.Failf(r.t, "a healthy member is marked as down", "%s has %s marked as down, though %d watchers receive its heartbeats",
 					observer.member.Name, member.Name, receiving)
 			}
 		}
@@ -246,8 +249,8 @@
 	return true
 }
 
-// TestMembers_RecoverFromFaults injects generated faults. None makes a healthy member marked as down, and once all
-// have ended, all members converge.
+// TestMembers_RecoverFromFaults injects generated faults. No healthy member may be marked as down, and once all faults have
+// ended, all members must converge.
 func TestMembers_RecoverFromFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.IntRange(2, 14).Draw(rt, "size")
@@ -261,9 +264,10 @@
 	})
 }
 
-// TestMembers_DeadWatcherBesidePartition: a machine dies that watches both members of zone b, and zone c loses its path
-// to zone b, of which it watches both members too. The two members watch each other, so that without votes of suspected
-// watchers all others would count them as dead, though zone a reaches them. A generated history of 2 December 2026.
+// TestMembers_DeadWatcherBesidePartition reproduces a failure that generated faults found on 2 December 2026. A machine that
+// watches both members of zone b dies. Zone c, which watches both of them too, loses its path to zone b. The third watcher
+// of each is the other one of the two. If suspected watchers had no vote, all others would mark both as down, though zone a
+// reaches them.
 func TestMembers_DeadWatcherBesidePartition(t *testing.T) {
 	r := newFaultRun(t, 0, 7)
 	r.powerOffNode(6)
@@ -280,9 +284,10 @@
 	r.requireRecovery()
 }
 
-// TestMembers_ManyMembersComeBackToOne: several machines are off while zone b is partitioned from zone c and then hears
-// nothing from zone a, so that its only running member has nearly all others marked as down. It is to see all of them
-// soon after all faults have ended, also those that it doesn't watch. A generated history of 2 December 2026.
+// TestMembers_ManyMembersComeBackToOne reproduces a failure that generated faults found on 2 December 2026. Several machines
+// are powered off while zone b is partitioned from zone c and then receives nothing from zone a either, so that the only
+// running member of zone b has nearly all others marked as down. Soon after all faults have ended it must see all of them as
+// live, including those that it doesn't watch.
 func TestMembers_ManyMembersComeBackToOne(t *testing.T) {
 	r := newFaultRun(t, 0xd, 13)
 	r.blockBoth(path{"c", "b"})
@@ -305,8 +310,8 @@
 	r.requireRecovery()
 }
 
-// TestMembers_FrozenForMinutes: machines freeze and wake minutes later. They have heard nobody meanwhile, and must not
-// mark the others as down for that, nor spread what they knew before as news.
+// TestMembers_FrozenForMinutes freezes machines for minutes. They receive nothing meanwhile. When they resume, they must
+// not mark the others as down because of that, nor gossip their old entries as new ones.
 func TestMembers_FrozenForMinutes(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/serving/member/rejoin.go
+++ b/serving/member/rejoin.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	downProbeInterval = time.Second // between two calls to members that are down
-	// maxDownProbes is the most members that are down that are called at once.
+	// downProbeInterval is the time between two probes of members that are down.
+	downProbeInterval = time.Second
+	// maxDownProbes bounds the number of members that are down and are called at once.
 	maxDownProbes = 8
 )
 
-// planDownProbe requests a repair with random members that are down or forgotten, so that the sides of a healed
-// partition merge.
+// planDownProbe adds repairs with random members that are down or forgotten to the calls, so that the two sides of a
+// partition merge after it has healed.
 func (n *node) planDownProbe(calls *pendingCalls) {
 	if n.now.Before(n.schedule.downProbe) {
 		return
@@ -35,14 +36,14 @@
 	}
 }
 
-// scheduleFurtherDownProbes makes the next probes of members that are down due at once, and more of them, after one has
-// responded: a partition has healed, and the others will respond too.
+// scheduleFurtherDownProbes is called after a member that was down has responded. It makes the next down probe due at once
+// and raises the number of members that it calls by one: a partition has probably healed, so that others will respond too.
 func (n *node) scheduleFurtherDownProbes() {
 	n.schedule.downProbe = n.now
 	n.schedule.downProbeCount = min(n.schedule.downProbeCount+1, maxDownProbes)
 }
 
-// membersToRejoin returns the members that are down or forgotten.
+// membersToRejoin returns the members that are down or forgotten, and drops those from forgotten that no longer are.
 func (n *node) membersToRejoin() (peers []gossip.Peer) {
 	for _, member := range n.members.DownMembers() {
 		peers = append(peers, peerOf(member))
@@ -57,8 +58,9 @@
 	return peers
 }
 
-// recordForgotten records the members among expired entries that another member still has. They were down here until
-// they were removed, and may run again with the version that has expired here; only themselves can raise it.
+// recordForgotten takes the headers of entries that have expired here but not at another member, and records the members
+// among them as forgotten. Such a member was down here until it was removed, but may be running. Its expired version isn't
+// accepted here again, and only the member itself can issue a newer one: so it is called and requested to do that.
 func (n *node) recordForgotten(expired []gossip.Header) {
 	for _, header := range expired {
 		if header.Table != gossip.TableMembers {
@@ -72,7 +74,8 @@
 	}
 }
 
-// isForgotten reports whether a member was removed here and hasn't come back, and another member has it.
+// isForgotten reports whether a member is forgotten: it was removed here after it was down and hasn't rejoined, but another
+// member still had its entry.
 func (n *node) isForgotten(name string) bool {
 	_, recorded := n.forgotten[name]
 	_, known := n.members.Member(name)
@@ -80,8 +83,8 @@
 	return recorded && !known && expired
 }
 
-// refutationNotice returns the acknowledgement for a member that has just responded to a call: it makes the member
-// refute that it is down or forgotten here.
+// refutationNotice returns the acknowledgement to send to a member that has just responded to a call. If the member is down
+// or forgotten here, the acknowledgement makes it refute that by raising its sequence.
 func (n *node) refutationNotice(name string) membership.HeartbeatAck {
 	if n.isForgotten(name) {
 		version, _ := n.engine.ExpiredVersion(gossip.TableMembers, name)
--- a/serving/member/replication.go
+++ b/serving/member/replication.go
@@ -11,22 +11,22 @@
 	"rowanlink/serving/state"
 )
 
-// hedgeDelay is how long replication waits for acknowledgements before it sends the entry to one more member.
+// hedgeDelay is how long replication waits for further acknowledgements before it sends the entry to one more member.
 const hedgeDelay = 120 * time.Millisecond
 
-// PutReplicated stores and gossips an entry, sends it to other live members at once, to core members first, and returns
-// when as many as copies have acknowledged that they have it in memory. It fails with errcode.TooFewMembers where fewer
-// are live, and with errcode.NotAcknowledged where too few have acknowledged before ctx ended or all have been tried.
-// The entry is gossiped in any case.
+// PutReplicated stores and gossips an entry, and besides sends it directly to other live members, core members first. It
+// returns when as many other members as copies says have acknowledged that they have the entry in memory. Errors are
+// errcode.TooFewMembers if fewer other members are live, and errcode.NotAcknowledged if ctx ended or all have been tried
+// before enough acknowledged. The entry is gossiped even if an error is returned.
 func (s *Service) PutReplicated(ctx context.Context, entry gossip.Entry, copies int) error {
 	targets := query(s, func(now time.Time, n *node) []gossip.Peer {
 		n.putLocal(now, entry)
 		return n.replicaTargets()
 	})
 	if len(targets) < copies {
-		return errcode.TooFewMembers.With("%d of %d", len(targets), copies)
+		return errcode.TooFewMembers.With("%d live, %d required", len(targets), copies)
 	}
-	calling, cancel := context.WithCancel(ctx)
+	callContext, cancel := context.WithCancel(ctx)
 	defer cancel()
 	pending := replication{
 		service: s,
@@ -35,13 +35,14 @@
 		results: make(chan error, len(targets)),
 	}
 	for range copies {
-		pending.sendToNext(calling)
+		pending.sendToNext(callContext)
 	}
-	return pending.wait(calling, copies)
+	return pending.wait(callContext, copies)
 }
 
-// replicaTargets returns the other live members: core members before others, and those of the local region first.
-// Members that are avoided come last.
+// replicaTargets returns the other live members in the order in which to send them an entry: core members before agents,
+// among each of them the local region first, and otherwise at random. Members that gossip avoids, since they didn't respond
+// lately, come last.
 func (n *node) replicaTargets() []gossip.Peer {
 	self := n.members.Self()
 	live := slices.Clone(n.members.LiveMembers())
@@ -70,16 +71,16 @@
 	return append(targets, avoided...)
 }
 
-// replication sends one entry to a number of members.
+// replication is one execution of PutReplicated: it sends an entry to members until enough have acknowledged it.
 type replication struct {
 	service  *Service
 	entry    gossip.Entry
 	targets  []gossip.Peer // not sent to yet
-	results  chan error
-	inFlight int
+	results  chan error    // one for each call; nil: acknowledged
+	inFlight int           // calls without a result
 }
 
-// sendToNext sends the entry to the next target; false where none is left.
+// sendToNext starts sending the entry to the next target; false if no target is left.
 func (r *replication) sendToNext(ctx context.Context) bool {
 	if len(r.targets) == 0 {
 		return false
@@ -89,9 +90,9 @@
 	r.inFlight++
 	go func() {
 		message := gossip.Message{From: r.service.options.Self.Name, Entries: []gossip.Entry{r.entry}}
-		bounded, cancel := context.WithTimeout(ctx, timeoutFor(message.Entries))
+		callContext, cancel := context.WithTimeout(ctx, timeoutFor(message.Entries))
 		defer cancel()
-		_, err := pushMethod.Call(bounded, r.service.options.Client, target.Address, &message)
+		_, err := pushMethod.Call(callContext, r.service.options.Client, target.Address, &message)
 		if err != nil && ctx.Err() == nil {
 			r.service.markUnresponsive(target.Name)
 		}
@@ -100,7 +101,8 @@
 	return true
 }
 
-// wait waits for the acknowledgements and sends the entry to a further target for each one that fails or is late.
+// wait waits until as many members as copies says have acknowledged the entry. It sends the entry to a further target after
+// each failed call, and in every hedgeDelay in case the calls in flight are slow.
 func (r *replication) wait(ctx context.Context, copies int) error {
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
@@ -114,12 +116,12 @@
 				continue
 			}
 			if !r.sendToNext(ctx) && r.inFlight == 0 {
-				return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
+				return errcode.NotAcknowledged.With("%d of %d acknowledged", acknowledged, copies)
 			}
 		case <-hedge.C:
 			r.sendToNext(ctx)
 		case <-ctx.Done():
-			return errcode.NotAcknowledged.With("%d of %d", acknowledged, copies)
+			return errcode.NotAcknowledged.With("%d of %d acknowledged", acknowledged, copies)
 		}
 	}
 	return nil
--- a/serving/member/replication_test.go
+++ b/serving/member/replication_test.go
@@ -30,10 +30,10 @@
 	hangs
 )
 
-// fakeMembers are members that respond to pushes alone, and a service that knows them.
+// fakeMembers is a service whose other members are fakes, which serve only pushes.
 type fakeMembers struct{ service *Service }
 
-// newFakeMembers starts a service that knows one core member for each fault, in random order.
+// newFakeMembers starts a service that knows one fake core member for each fault, and calls them in a random order.
 func newFakeMembers(t *testing.T, faults ...fault) *fakeMembers {
 	t.Helper()
 	log := zerolog.Nop()
@@ -57,7 +57,7 @@
 	return fakes
 }
 
-// servePushes returns a handler of pushes with the fault.
+// servePushes returns a handler that responds to pushes as the fault says.
 func servePushes(kind fault) http.Handler {
 	mux := http.NewServeMux()
 	pushMethod.Serve(mux, func(ctx context.Context, _ *gossip.Message) (*pushResponse, error) {
@@ -76,7 +76,8 @@
 
 var replicated = gossip.Entry{Table: gossip.TableEndpoints, Key: "e", Version: gossip.NewVersion(1, 0)}
 
-// TestPutReplicated_WithFaultyMembers injects each fault into each of four members in turn, and into two at a time.
+// TestPutReplicated_WithFaultyMembers injects each fault into each of four members, and into each pair of them. The other
+// two or three members can still acknowledge two copies.
 func TestPutReplicated_WithFaultyMembers(t *testing.T) {
 	for _, kind := range []fault{fails, hangs} {
 		for first := range 4 {
@@ -101,7 +102,7 @@
 	assert.True(t, errcode.NotAcknowledged.Is(fakes.service.PutReplicated(ctx, replicated, 2)))
 	assert.True(t, errcode.TooFewMembers.Is(fakes.service.PutReplicated(ctx, replicated, 4)))
 	_, found := fakes.service.Get(gossip.TableEndpoints, "e")
-	assert.True(t, found, "it is gossiped all the same")
+	assert.True(t, found, "the entry is gossiped even if too few members acknowledge it")
 }
 
 func TestPutReplicated_EndsWithContext(t *testing.T) {
@@ -123,24 +124,25 @@
 	assert.Error(t, fakes.service.PutReplicated(ctx, replicated, 1))
 }
 
-// TestPushDurable_NeedsTheReceiversDisk guards against a member that acknowledges a durable push from memory.
+// TestPushDurable_NeedsTheReceiversDisk guards against a member that acknowledges a durable push when the entries are only
+// in memory.
 func TestPushDurable_NeedsTheReceiversDisk(t *testing.T) {
 	sender, receiver := newFakeMembers(t).service, newFakeMembers(t).service
 	server := httptest.NewServer(receiver.options.Mux)
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	entries := []gossip.Entry{replicated}
-	assert.Error(t, sender.PushDurable(t.Context(), address, entries), "no disk yet")
+	assert.Error(t, sender.PushDurable(t.Context(), address, entries), "the receiver has no Persister yet")
 	var persisted []gossip.Entry
 	diskError := errors.New("disk is full")
 	receiver.SetPersister(func(_ context.Context, entries []gossip.Entry) error {
 		persisted = append(persisted, entries...)
 		return diskError
 	})
-	assert.Error(t, sender.PushDurable(t.Context(), address, entries), "the disk fails")
+	assert.Error(t, sender.PushDurable(t.Context(), address, entries), "the receiver's disk fails")
 	diskError = nil
 	require.NoError(t, sender.PushDurable(t.Context(), address, entries))
 	assert.Len(t, persisted, 2)
 	_, found := receiver.Get(gossip.TableEndpoints, replicated.Key)
-	assert.True(t, found, "it is gossiped on")
+	assert.True(t, found, "the receiver has stored the entry for gossip")
 }
--- a/serving/member/requesthandling.go
+++ b/serving/member/requesthandling.go
@@ -23,8 +23,9 @@
 	n.members.RecordContact(n.now, name)
 }
 
-// acknowledge records a heartbeat and returns its response. A member whose tombstone or entry has expired here is
-// requested for a version that is newer than the expired one.
+// acknowledge records a heartbeat and returns its acknowledgement. If the member's entry has expired here in the version
+// that the heartbeat names, or in a newer one of that incarnation, the entry would not be accepted again: the
+// acknowledgement then requests the member to raise its sequence above the expired one.
 func (n *node) acknowledge(heartbeat membership.Heartbeat) membership.HeartbeatAck {
 	ack := n.members.ReceiveHeartbeat(n.now, heartbeat)
 	expired, ok := n.engine.ExpiredVersion(gossip.TableMembers, heartbeat.Name)
@@ -35,7 +36,7 @@
 	return ack
 }
 
-// handlePush handles a pushed message.
+// handlePush stores the entries of a pushed message and requests those of the offered entries that are missing here.
 func (n *node) handlePush(now time.Time, message gossip.Message) (response pushResponse) {
 	n.step(now, func() {
 		n.recordContact(message.From)
@@ -45,7 +46,7 @@
 	return response
 }
 
-// handleCompare handles the first call of a repair.
+// handleCompare handles the first call of a repair: it returns the contents of the buckets whose digests differ.
 func (n *node) handleCompare(now time.Time, request *compareRequest) (response compareResponse) {
 	n.step(now, func() {
 		n.recordContact(request.Heartbeat.Name)
@@ -55,7 +56,8 @@
 	return response
 }
 
-// handleTransfer handles the second call of a repair.
+// handleTransfer handles the second call of a repair: it stores the entries that it receives and returns the requested
+// ones.
 func (n *node) handleTransfer(now time.Time, request *transferRequest) (response transferResponse) {
 	n.processAck(now, request.Ack)
 	n.step(now, func() {
@@ -68,9 +70,9 @@
 	return response
 }
 
-// expireEntries removes entries that have expired at another member: those that are about to expire here too, only
-// later, such as after a restart in between. Otherwise the two members would find a difference at each heartbeat until
-// then.
+// expireEntries removes entries that have expired at another member and would expire here too, but later: for example, a
+// member that was restarted received a tombstone later than others. Until then the two members' tables would differ, and
+// each heartbeat would find the difference.
 func (n *node) expireEntries(headers []gossip.Header) {
 	for _, header := range headers {
 		switch {
@@ -84,7 +86,8 @@
 	}
 }
 
-// expireSuspicion removes a suspicion that other members have removed together with its member or its watcher.
+// expireSuspicion removes a suspicion that another member has removed because the suspected member or the watcher was
+// removed. A version that is newer than the expired one stays.
 func (n *node) expireSuspicion(header gossip.Header) {
 	entry, ok := n.engine.Get(header.Table, header.Key)
 	if !ok || header.Version.Less(entry.Version) {
--- a/serving/member/responses.go
+++ b/serving/member/responses.go
@@ -7,8 +7,9 @@
 	"rowanlink/serving/membership"
 )
 
-// processAck applies the response to a heartbeat, or to what stands for one. It returns the local member's entry where
-// the other member lacks it.
+// processAck applies the acknowledgement of a heartbeat, which the messages of a repair carry too. If another member
+// suspects the local one or has it marked as down, the local one refutes that with a higher sequence. processAck returns
+// the local member's entry if the other member needs it.
 func (n *node) processAck(now time.Time, ack membership.HeartbeatAck) (own *gossip.Entry) {
 	n.step(now, func() {
 		if ack.RefuteAbove == 0 {
@@ -28,21 +29,22 @@
 	return &entry
 }
 
-// processHeartbeatResponse applies a watcher's response to a heartbeat. It returns the local member's entry where the
-// watcher lacks it.
+// processHeartbeatResponse applies a member's response to a heartbeat. It returns the local member's entry if that member
+// needs it.
 func (n *node) processHeartbeatResponse(now time.Time, from string, response *heartbeatResponse) (own *gossip.Entry) {
 	n.step(now, func() { n.recordContact(from) })
 	n.engine.RecordDifference(now, from, response.DifferingTables)
 	return n.processAck(now, response.Ack)
 }
 
-// markUnresponsive records that a member didn't respond to a call.
+// markUnresponsive records, for gossip and the failure detector, that a member didn't respond to a call.
 func (n *node) markUnresponsive(now time.Time, name string) {
 	n.engine.MarkUnresponsive(now, name)
 	n.members.RecordNoResponse(now, name)
 }
 
-// processHeartbeatFailure records that a heartbeat had no response.
+// processHeartbeatFailure records that a heartbeat got no response. After one to another region, the next interval's
+// heartbeats go to other regions too, since the regular ones are RemoteIntervalFactor intervals apart.
 func (n *node) processHeartbeatFailure(now time.Time, to gossip.Peer) {
 	n.markUnresponsive(now, to.Name)
 	if to.Region != n.members.Self().Region {
@@ -50,8 +52,8 @@
 	}
 }
 
-// processCompareResponse applies the response to the first call of a repair and returns the second call, if one is
-// needed.
+// processCompareResponse applies the response to the first call of a repair and returns the request of the second call,
+// which is needed if there are entries to transfer or the peer has to refute that it is down.
 func (n *node) processCompareResponse(now time.Time, from string,
 	response *compareResponse) (request transferRequest, needed bool) {
 	n.step(now, func() {
--- a/serving/member/roles.go
+++ b/serving/member/roles.go
@@ -7,7 +7,8 @@
 	"rowanlink/serving/singleton"
 )
 
-// acquireRole returns the holder of a singleton role, and gossips the local member's claim where it takes the role.
+// acquireRole returns the holder of a singleton role among the live members of the scope. If the local member takes the
+// role, its claim is gossiped.
 func (n *node) acquireRole(now time.Time, role string, scope singleton.Scope) (assignment singleton.Assignment) {
 	n.step(now, func() {
 		var claim *singleton.Claim
--- a/serving/member/seeds.go
+++ b/serving/member/seeds.go
@@ -2,31 +2,36 @@
 
 import "time"
 
-// Intervals of the calls to seeds.
+// Times of the calls to seeds. The intervals are the times between two calls.
 const (
-	firstSeedInterval  = 30 * time.Millisecond  // between the first calls to each seed, since some may be far away or down
-	joinInterval       = 150 * time.Millisecond // between two calls while no other member is known
-	joinPeriod         = 2 * time.Second        // how long after the start joinInterval applies even if other members are known
-	reseedInterval     = 500 * time.Millisecond // between two calls to seeds that are not among the members
-	slowReseedInterval = 5 * time.Second        // the same after fastReseedPeriod
-	fastReseedPeriod   = 10 * time.Second       // since the seeds were set
-	seedCallTimeout    = 600 * time.Millisecond // after which a seed may be called again
+	// firstSeedInterval applies until each seed was called once. It is short because some seeds may be far away or down.
+	firstSeedInterval = 30 * time.Millisecond
+	// joinInterval applies while no other member is known, and during joinPeriod after the seeds were set in any case.
+	joinInterval = 150 * time.Millisecond
+	joinPeriod   = 2 * time.Second
+	// reseedInterval applies after that, until fastReseedPeriod after the seeds were set, and slowReseedInterval from then
+	// on. Only seeds that aren't among the members are called.
+	reseedInterval     = 500 * time.Millisecond
+	slowReseedInterval = 5 * time.Second
+	fastReseedPeriod   = 10 * time.Second
+	// seedCallTimeout is how long after a call to a seed the seed isn't called again unless that call has ended.
+	seedCallTimeout = 600 * time.Millisecond
 )
 
-// seedSchedule decides which seed is called when: round-robin until another member is known, and then only seeds that
-// are not among the members, since they may know other members.
+// seedSchedule decides which seed is called when. Until another member is known, all seeds are called round-robin. After
+// that only seeds that aren't among the live members are called, since they may know members that the local one doesn't.
 type seedSchedule struct {
-	own       string
-	addresses []string
-	next      int
-	due       time.Time
-	since     time.Time
-	attempts  int                  // since the seeds were set
-	inFlight  map[string]time.Time // by address: when the call in flight counts as ended
+	ownAddress string
+	addresses  []string             // of the seeds, without ownAddress
+	lastIndex  int                  // in addresses, of the seed that was considered last
+	dueAt      time.Time            // of the next call
+	setAt      time.Time            // when the seeds were set
+	attempts   int                  // since setAt
+	inFlight   map[string]time.Time // by address: when the call in flight counts as ended
 }
 
-func newSeedSchedule(now time.Time, own string, addresses []string) seedSchedule {
-	schedule := seedSchedule{own: own, inFlight: map[string]time.Time{}}
+func newSeedSchedule(now time.Time, ownAddress string, addresses []string) seedSchedule {
+	schedule := seedSchedule{ownAddress: ownAddress, inFlight: map[string]time.Time{}}
 	schedule.set(now, addresses)
 	return schedule
 }
@@ -35,25 +40,26 @@
 func (s *seedSchedule) set(now time.Time, addresses []string) {
 	s.addresses = nil
 	for _, address := range addresses {
-		if address != s.own {
+		if address != s.ownAddress {
 			s.addresses = append(s.addresses, address)
 		}
 	}
-	s.due = now
-	s.since = now
+	s.dueAt = now
+	s.setAt = now
 	s.attempts = 0
 }
 
-// takeDue returns the address of the seed to call now; empty where none is due.
+// takeDue returns the address of the seed to call now, and schedules the next call; empty if no call is due. The local
+// member is alone if it knows no other live member.
 func (s *seedSchedule) takeDue(now time.Time, alone bool, isMember func(address string) bool) string {
-	if now.Before(s.due) || len(s.addresses) == 0 {
+	if now.Before(s.dueAt) || len(s.addresses) == 0 {
 		return ""
 	}
 	s.attempts++
-	s.due = now.Add(s.interval(now, alone))
+	s.dueAt = now.Add(s.interval(now, alone))
 	for range s.addresses {
-		s.next = (s.next + 1) % len(s.addresses)
-		address := s.addresses[s.next]
+		s.lastIndex = (s.lastIndex + 1) % len(s.addresses)
+		address := s.addresses[s.lastIndex]
 		if now.Before(s.inFlight[address]) || !alone && isMember(address) {
 			continue
 		}
@@ -63,14 +69,14 @@
 	return ""
 }
 
-// interval returns the time to the next call.
+// interval returns the time until the next call.
 func (s *seedSchedule) interval(now time.Time, alone bool) time.Duration {
 	switch {
 	case alone && s.attempts < len(s.addresses):
 		return firstSeedInterval
-	case alone || now.Sub(s.since) < joinPeriod:
+	case alone || now.Sub(s.setAt) < joinPeriod:
 		return joinInterval
-	case now.Sub(s.since) < fastReseedPeriod:
+	case now.Sub(s.setAt) < fastReseedPeriod:
 		return reseedInterval
 	default:
 		return slowReseedInterval
--- a/serving/member/seeds_test.go
+++ b/serving/member/seeds_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// neverMember reports for every address that no member has it.
 func neverMember(string) bool { return false }
 
-// TestSeedSchedule_FirstCalls checks that all seeds are called in quick succession at first: the first seed in the list
-// may be far away or down, the last one near.
+// TestSeedSchedule_FirstCalls checks that at first all seeds are called in quick succession: some may be far away or down,
+// while another one is near.
 func TestSeedSchedule_FirstCalls(t *testing.T) {
 	start := time.Unix(1000, 0)
 	schedule := newSeedSchedule(start, "own", []string{"a", "own", "b", "c"})
@@ -20,7 +21,7 @@
 		if address := schedule.takeDue(now, true, neverMember); address != "" {
 			called = append(called, address)
 			at = append(at, now.Sub(start))
-			schedule.finish(address) // refused
+			schedule.finish(address) // the connection was refused
 		}
 	}
 	assert.Equal(t, []string{"b", "c", "a"}, called[:3])
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -20,7 +20,7 @@
 	"rowanlink/serving/subscription"
 )
 
-// proxyCountWindow is how long a proxy that is no longer live still counts among those that may run.
+// proxyCountWindow is how long a proxy that is no longer known to be live still counts in ProxyCounts.MaxRunning.
 const proxyCountWindow = time.Minute
 
 // Options configures a Service.
@@ -32,26 +32,26 @@
 	Log      *zerolog.Logger
 }
 
-// Service is the member of one process: it runs gossip, membership and singleton roles. It is safe for concurrent use.
+// Service runs the local member: its gossip, membership and singleton roles. It is safe for concurrent use.
 type Service struct {
 	options  Options
 	actor    *actor.Actor[node]
 	caller   *caller
 	notifier *notifier
-	wake     chan struct{} // something is due before the timer fires
+	wake     chan struct{} // signals the timer loop that an action is due before its timer fires
 	done     chan struct{} // closed when the timer loop has ended
 	cancel   context.CancelFunc
 	// persister saves the entries of durable pushes; nil before SetPersister.
 	persister atomic.Pointer[Persister]
-	// applier waits for entries that pushes name; nil before SetApplier.
+	// applier waits for the entries in gossip.Message.Await; nil before SetApplier.
 	applier atomic.Pointer[Applier]
 }
 
-// Start joins the membership in the background, until ctx ends or Close is called. The incarnation is the wall
-// clock; where the clock has jumped back since an earlier incarnation, the first member that is contacted knows that
-// one, and the local member raises its incarnation above it.
+// Start starts the local member, which joins the membership in the background. It runs until ctx ends or Close is called.
+// Its incarnation is the wall clock's time. If the clock was set back since an earlier process of this member started, the
+// first member that is contacted returns the higher incarnation, and the local member raises its own above it.
 func Start(ctx context.Context, options Options) (*Service, error) {
-	running, cancel := context.WithCancel(ctx)
+	runContext, cancel := context.WithCancel(ctx)
 	s := &Service{
 		options:  options,
 		notifier: newNotifier(),
@@ -72,17 +72,18 @@
 	})
 	s.actor = actor.Start(node)
 	s.registerHandlers(options.Mux)
-	go s.notifier.run(running)
-	go s.loop(running)
+	go s.notifier.run(runContext)
+	go s.loop(runContext)
 	return s, nil
 }
 
-// seedAddresses returns the addresses for internal calls of the seeds, which are given by their control addresses.
-func seedAddresses(own *settings.Process, controls []string, log *zerolog.Logger) (addresses []string) {
-	for _, control := range controls {
-		address, err := own.InternalAddressOf(control)
+// seedAddresses returns the seeds' addresses for internal calls, given their control addresses. Invalid ones are logged and
+// left out.
+func seedAddresses(own *settings.Process, controlAddresses []string, log *zerolog.Logger) (addresses []string) {
+	for _, controlAddress := range controlAddresses {
+		address, err := own.InternalAddressOf(controlAddress)
 		if err != nil {
-			event.SeedAddressInvalid.Log(log).Err(err).Str("seed", control).Send()
+			event.SeedAddressInvalid.Log(log).Err(err).Str("seed", controlAddress).Send()
 			continue
 		}
 		addresses = append(addresses, address)
@@ -90,14 +91,15 @@
 	return addresses
 }
 
-// Close stops the service without notifying other members, see Leave.
+// Close stops the service. It doesn't notify other members; Leave does.
 func (s *Service) Close() {
 	s.cancel()
 	<-s.done
 	s.actor.Stop()
 }
 
-// run executes a command on the node, asynchronously, and wakes the timer loop if something is due earlier then.
+// run runs a command on the node's goroutine, without waiting for it, and wakes the timer loop if an action is due earlier
+// after that.
 func (s *Service) run(command func(now time.Time, n *node)) {
 	s.actor.Send(func(n *node) {
 		command(time.Now(), n)
@@ -105,7 +107,7 @@
 	})
 }
 
-// query executes a command on the node and returns its result; the zero value after Close.
+// query runs a command on the node's goroutine and returns its result; the zero value after Close.
 func query[Result any](s *Service, command func(now time.Time, n *node) Result) Result {
 	result, _ := actor.Call(s.actor, func(n *node) Result {
 		result := command(time.Now(), n)
@@ -120,7 +122,7 @@
 	s.run(func(now time.Time, n *node) { n.markUnresponsive(now, name) })
 }
 
-// wakeIfDue wakes the timer loop where something is due before its timer fires.
+// wakeIfDue wakes the timer loop if an action is due before its timer fires.
 func (s *Service) wakeIfDue(n *node) {
 	if !n.nextTick().Before(n.wakeAt) {
 		return
@@ -131,7 +133,7 @@
 	}
 }
 
-// Put stores an entry and gossips it. It doesn't wait.
+// Put stores an entry and gossips it, without waiting for either.
 func (s *Service) Put(entry gossip.Entry) {
 	s.run(func(now time.Time, n *node) { n.putLocal(now, entry) })
 }
@@ -147,32 +149,32 @@
 
 // All returns the entries of a table, in no order.
 func (s *Service) All(table gossip.TableID) []gossip.Entry {
-	return query(s, func(_ time.Time, n *node) []gossip.Entry { return n.all(table) })
+	return query(s, func(_ time.Time, n *node) []gossip.Entry { return n.tableEntries(table) })
 }
 
-// Subscribe registers a function that is called for every entry of the table: first for those stored now, then for each
-// that is stored later, in this order. Calls come one at a time from a goroutine of the service and may use the
-// service.
-func (s *Service) Subscribe(table gossip.TableID, call func(gossip.Entry)) {
+// Subscribe registers a function that is called for every entry of the table: first for those stored now, in no order, and
+// then for each that is stored later, in the order in which they are stored. The service makes the calls one at a time on
+// its own goroutine; the subscriber may call methods of the service.
+func (s *Service) Subscribe(table gossip.TableID, subscriber func(gossip.Entry)) {
 	s.run(func(_ time.Time, n *node) {
-		for _, entry := range n.all(table) {
-			s.notifier.add(call, entry)
+		for _, entry := range n.tableEntries(table) {
+			s.notifier.add(subscriber, entry)
 		}
-		n.engine.Subscribe(table, func(entry gossip.Entry) { s.notifier.add(call, entry) })
+		n.engine.Subscribe(table, func(entry gossip.Entry) { s.notifier.add(subscriber, entry) })
 	})
 }
 
-// Members returns the live members, the local one among them, by name.
+// Members returns the live members, including the local one, ordered by name.
 func (s *Service) Members() []state.Member {
 	return query(s, func(_ time.Time, n *node) []state.Member { return n.members.LiveMembers() })
 }
 
-// DownMembers returns the members that are known to be down, by name.
+// DownMembers returns the members that are known to be down, ordered by name.
 func (s *Service) DownMembers() []state.Member {
 	return query(s, func(_ time.Time, n *node) []state.Member { return n.members.DownMembers() })
 }
 
-// LeftMembers returns the members that have lately left by a graceful shutdown, by name.
+// LeftMembers returns the members that have lately left by a graceful shutdown, ordered by name.
 func (s *Service) LeftMembers() []state.Member {
 	return query(s, func(_ time.Time, n *node) []state.Member { return n.members.LeftMembers() })
 }
@@ -210,9 +212,9 @@
 	})
 }
 
-// SetSeeds replaces the seeds, which are given by their control addresses.
-func (s *Service) SetSeeds(controls []string) {
-	addresses := seedAddresses(s.options.Settings, controls, s.options.Log)
+// SetSeeds replaces the seeds, given their control addresses.
+func (s *Service) SetSeeds(controlAddresses []string) {
+	addresses := seedAddresses(s.options.Settings, controlAddresses, s.options.Log)
 	s.run(func(now time.Time, n *node) { n.seeds.set(now, addresses) })
 }
 
@@ -227,9 +229,9 @@
 	})
 }
 
-// AcquireRole returns the holder of a singleton role among the live members of a scope, and takes the role for the
-// local member if that is the first candidate. Call it before each run of the role's job, and run the job only while
-// Assignment.Local.
+// AcquireRole returns the holder of a singleton role among the live members of a scope, and takes the role for the local
+// member if that is the first candidate. Call AcquireRole before each run of the role's job, and run the job only if
+// Assignment.Local is set.
 func (s *Service) AcquireRole(role string, scope singleton.Scope) singleton.Assignment {
 	return query(s, func(now time.Time, n *node) singleton.Assignment { return n.acquireRole(now, role, scope) })
 }
@@ -242,8 +244,9 @@
 // leaveAcknowledgements is the number of members that have to acknowledge the local member's departure.
 const leaveAcknowledgements = 3
 
-// Leave notifies the other members of the graceful shutdown of the local one. It returns when leaveAcknowledgements of
-// them have acknowledged that or when ctx ends, with an error of PutReplicated.
+// Leave marks the local member as left and notifies the other members, so that they need not detect its shutdown. It
+// returns when leaveAcknowledgements of them, or all if there are fewer, have acknowledged that. Errors are those of
+// PutReplicated.
 func (s *Service) Leave(ctx context.Context) error {
 	left := query(s, func(now time.Time, n *node) gossip.Entry {
 		n.updateSelf(now, func(member *state.Member) { member.State = state.MemberLeft })
--- a/serving/member/service_test.go
+++ b/serving/member/service_test.go
@@ -21,17 +21,17 @@
 	"rowanlink/serving/state"
 )
 
-// testLimit bounds the waits of the tests that use sockets. A test that passes doesn't come near it.
+// testLimit bounds the waits of the tests that use sockets. Passing tests take much less.
 const testLimit = 20 * time.Second
 
-// testProcess is a member with a server of its own on a loopback address.
+// testProcess is a member with its own HTTP server on a loopback address.
 type testProcess struct {
 	service *Service
 	server  *http.Server
 	client  *rpc.Client
 }
 
-// freePort returns a port that is free on all loopback addresses at the moment.
+// freePort returns a port that is currently free on all loopback addresses.
 func freePort(t *testing.T) int {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "0.0.0.0:0")
@@ -40,7 +40,7 @@
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-// startProcess starts member number i. Members 1 and 2 are the seeds.
+// startProcess starts the member with number i. Members 1 and 2 are the seeds of all.
 func startProcess(t *testing.T, port, i int, role state.Role) *testProcess {
 	t.Helper()
 	ip := fmt.Sprintf("127.0.3.%d", i)
@@ -63,14 +63,14 @@
 	return started
 }
 
-// stop terminates a member without notifying its peers.
+// stop ends a member without notifying its peers.
 func (p *testProcess) stop() {
 	_ = p.server.Close()
 	p.service.Close()
 	p.client.Close()
 }
 
-// waitForEntries waits until a condition holds. It checks the condition at each change of the table.
+// waitForEntries waits until a condition holds, which it checks after each change of the table.
 func waitForEntries(t *testing.T, m *Service, table gossip.TableID, condition func() bool) {
 	t.Helper()
 	changed := make(chan struct{}, 1)
@@ -93,7 +93,7 @@
 func TestService_MembersOverLoopback(t *testing.T) {
 	port := freePort(t)
 	var all []*testProcess
-	for i := 5; i >= 1; i-- { // the seeds come last
+	for i := 5; i >= 1; i-- { // the seeds start last
 		role := state.RoleAgent
 		if i <= 2 {
 			role = state.RoleCore
@@ -138,7 +138,8 @@
 	waitForEntries(t, all[4].service, gossip.TableMembers, func() bool { return len(all[4].service.Members()) == 4 })
 }
 
-// TestService_RelaysProbes has a member probe another one, a member that has ended, and one that it doesn't know.
+// TestService_RelaysProbes requests a relay to probe a running member, a member that was stopped, and one that the relay
+// doesn't know.
 func TestService_RelaysProbes(t *testing.T) {
 	port := freePort(t)
 	relay := startProcess(t, port, 1, state.RoleCore)
@@ -146,7 +147,7 @@
 	waitForEntries(t, relay.service, gossip.TableMembers, func() bool { return len(relay.service.Members()) == 3 })
 	others[1].stop()
 	for name, responds := range map[string]bool{"member-2": true, "member-3": false, "unknown": false} {
-		ctx, cancel := context.WithTimeout(t.Context(), relayTimeout)
+		ctx, cancel := context.WithTimeout(t.Context(), relayRequestTimeout)
 		response, err := probeMethod.Call(ctx, others[0].client, relay.service.Self().Address, &probeRequest{Member: name})
 		cancel()
 		require.NoError(t, err)
--- a/serving/member/simulation_calls_test.go
+++ b/serving/member/simulation_calls_test.go
@@ -10,7 +10,7 @@
 	"rowanlink/serving/gossip"
 )
 
-// delayBetween returns the latency of one message.
+// delayBetween returns the latency of a message without jitter.
 func delayBetween(from, to *simNode) time.Duration {
 	switch {
 	case from.member.Region != to.member.Region:
@@ -22,7 +22,7 @@
 	}
 }
 
-// drawDelay returns the latency of one message with its jitter.
+// drawDelay returns the latency of a message including a random jitter.
 func (s *simulation) drawDelay(from, to *simNode) time.Duration {
 	delay := delayBetween(from, to)
 	if s.jitter > 0 {
@@ -31,7 +31,7 @@
 	return delay
 }
 
-// transmit counts a request or a response; it returns false where the message is lost.
+// transmit counts a message, a request or a response, and reports whether it arrives.
 func (s *simulation) transmit(from, to *simNode, message any) bool {
 	s.messageNumber++
 	if s.countBytes {
@@ -46,7 +46,8 @@
 	return s.messageNumber != s.lostMessage && !s.blocked(from, to) && s.random.Float64() >= s.lossRate
 }
 
-// simCall simulates a call. Either answered or failed runs at the caller, at the latest after the time-out.
+// simCall simulates a call: serve runs at the called machine, and then either answered or failed at the caller, at the
+// latest after the time-out.
 func simCall[Request, Response any](s *simulation, from *simNode, address string, timeout time.Duration,
 	request Request, serve func(*node, time.Time, Request) Response, answered func(Response), failed func()) {
 	index := slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.member.Address == address })
@@ -82,7 +83,7 @@
 	})
 }
 
-// startCalls simulates the calls that a node requests, as caller makes them on real machines.
+// startCalls simulates the calls that a node has decided on, as the type caller makes them in a real process.
 func (s *simulation) startCalls(n *simNode, calls pendingCalls) {
 	for _, heartbeat := range calls.heartbeats {
 		s.sendHeartbeat(n, heartbeat, (*node).processHeartbeatFailure)
@@ -117,7 +118,7 @@
 	return n.handleTransfer(now, &request)
 }
 
-func (s *simulation) sendHeartbeat(n *simNode, heartbeat heartbeatCall, report func(*node, time.Time, gossip.Peer)) {
+func (s *simulation) sendHeartbeat(n *simNode, heartbeat heartbeatCall, onFailure func(*node, time.Time, gossip.Peer)) {
 	answered := func(response heartbeatResponse) {
 		own := n.node.processHeartbeatResponse(s.now, heartbeat.to.Name, &response)
 		if own == nil {
@@ -126,11 +127,12 @@
 		message := gossip.Message{From: n.member.Name, Entries: []gossip.Entry{*own}}
 		simCall(s, n, heartbeat.to.Address, defaultTimeout, message, servePush, func(pushResponse) {}, func() {})
 	}
-	failed := func() { report(n.node, s.now, heartbeat.to) }
+	failed := func() { onFailure(n.node, s.now, heartbeat.to) }
 	simCall(s, n, heartbeat.to.Address, defaultTimeout, heartbeat.request, serveHeartbeat, answered, failed)
 }
 
-// requestProbe simulates a request to a relay to probe a member. The relay's answer takes a call of its own.
+// requestProbe simulates a request to a relay to probe a member. Its response is simulated here rather than by simCall,
+// because the relay responds only after it has made a call itself.
 func (s *simulation) requestProbe(n *simNode, relay, to gossip.Peer) {
 	incarnation := n.incarnations
 	answered := false
@@ -142,7 +144,7 @@
 			}
 		})
 	}
-	s.schedule(s.now.Add(relayTimeout), func() { answer(false) })
+	s.schedule(s.now.Add(relayRequestTimeout), func() { answer(false) })
 	relayNode := s.nodes[slices.IndexFunc(s.nodes, func(n *simNode) bool { return n.member.Address == relay.Address })]
 	respond := func(responded bool) {
 		if s.transmit(relayNode, n, probeResponse{Responded: responded}) {
@@ -160,10 +162,10 @@
 			relaying.processHeartbeatResponse(s.now, heartbeat.to.Name, &response)
 			respond(true)
 		}
-		simCall(s, relayNode, to.Address, relayedTimeout, heartbeat.request, serveHeartbeat, succeeded, func() { respond(false) })
+		simCall(s, relayNode, to.Address, relayedHeartbeatTimeout, heartbeat.request, serveHeartbeat, succeeded, func() { respond(false) })
 		return struct{}{}
 	}
-	simCall(s, n, relay.Address, relayTimeout, request, serve, func(struct{}) {}, func() { answer(false) })
+	simCall(s, n, relay.Address, relayRequestTimeout, request, serve, func(struct{}) {}, func() { answer(false) })
 }
 
 func (s *simulation) sendPush(n *simNode, envelope gossip.Envelope) {
@@ -198,7 +200,7 @@
 
 func (s *simulation) repair(n *simNode, repair repairCall) {
 	finished := func() {
-		if repair.seed {
+		if repair.toSeed {
 			n.node.seeds.finish(repair.to.Address)
 		}
 	}
--- a/serving/member/simulation_test.go
+++ b/serving/member/simulation_test.go
@@ -21,27 +21,28 @@
 	Helper()
 }
 
-// simulation runs nodes on a simulated network with a simulated clock. It is determined by its seed.
+// simulation runs nodes on a simulated network with a simulated clock. It is deterministic for a given seed.
 type simulation struct {
 	t      reporter
 	now    time.Time
 	random *rand.Rand
 	queue  eventQueue
-	order  uint64
+	order  uint64 // of the event that was scheduled last
 	nodes  []*simNode
 	log    zerolog.Logger
 
-	// blocked reports whether no message gets from one node to another.
+	// blocked reports whether all messages from one node to another are lost.
 	blocked  func(from, to *simNode) bool
-	lossRate float64 // share of the messages that are lost
-	// jitter is the greatest time by which a message may come later than delayBetween says, and so after later ones.
+	lossRate float64 // probability of a message to be lost
+	// jitter bounds the random delay of a message in addition to delayBetween. It lets messages overtake each other.
 	jitter time.Duration
-	// messageNumber counts requests and responses. lostMessage, when not zero, is the one that is lost.
+	// messageNumber is the number of requests and responses so far. The message with the number lostMessage is lost; zero:
+	// none.
 	messageNumber int
 	lostMessage   int
 	countBytes    bool
 	bytes         int
-	remoteBytes   int // of these, between regions
+	remoteBytes   int // the part of bytes that was sent between regions
 	calls         int
 }
 
@@ -50,18 +51,20 @@
 	node           *node
 	member         state.Member
 	running        bool
-	powered        bool // without power calls time out; with power calls to a process that doesn't run fail at once
+	powered        bool // calls to a machine without power time out; to one with power, but no running process, they fail at once
 	frozenUntil    time.Time
-	incarnations   int
+	incarnations   int    // increases at each start and each end of the process
 	newestRevision uint64 // of the record in this incarnation
 }
 
+// simEvent is a scheduled event.
 type simEvent struct {
 	at    time.Time
-	order uint64
+	order uint64 // decides between events of the same time
 	run   func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -78,13 +81,14 @@
 	return popped
 }
 
-// location is where a simulated machine is.
+// location is the location of a simulated machine.
 type location struct{ zone, region string }
 
 // threeZones has two zones in one region and one in another.
 var threeZones = []location{{"a", "west"}, {"b", "west"}, {"c", "east"}}
 
-// newSimulation returns machines that don't run yet, spread round-robin over the locations. The first three are seeds.
+// newSimulation returns a simulation of machines whose processes haven't been started yet, spread round-robin over the
+// locations. The first three are the core members and the seeds.
 func newSimulation(t reporter, seed uint64, count int, locations []location) *simulation {
 	s := &simulation{
 		t:       t,
@@ -115,13 +119,13 @@
 	return s
 }
 
-// schedule schedules an event.
+// schedule adds an event that runs at the given time.
 func (s *simulation) schedule(moment time.Time, run func()) {
 	s.order++
 	heap.Push(&s.queue, simEvent{at: moment, order: s.order, run: run})
 }
 
-// run advances the simulation.
+// run advances the simulation by a span of time.
 func (s *simulation) run(span time.Duration) {
 	end := s.now.Add(span)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
@@ -132,7 +136,8 @@
 	s.now = end
 }
 
-// runUntil advances the simulation until a condition, checked every 10 ms, holds, and returns how long that took.
+// runUntil advances the simulation until a condition holds, which it checks every 10 ms, and returns how long that took. It
+// fails with the description, what, if that takes longer than the limit.
 func (s *simulation) runUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	s.t.Helper()
 	start := s.now
@@ -143,9 +148,11 @@
 	return s.now.Sub(start)
 }
 
-// start starts a process with an incarnation from the simulated clock.
+// start starts a machine's process, whose incarnation is the simulated time.
 func (s *simulation) start(n *simNode) { s.startAs(n, uint64(s.now.UnixNano())) }
 
+// startAs starts a machine's process with the given incarnation. The process fails the test if a record is delivered to it
+// whose revision isn't higher than the previous one.
 func (s *simulation) startAs(n *simNode, incarnation uint64) {
 	n.incarnations++
 	n.running = true
@@ -167,7 +174,7 @@
 	s.loop(n, n.incarnations)
 }
 
-// startAll starts all machines within 0.3 s.
+// startAll starts the processes of all machines at random times within 0.3 s.
 func (s *simulation) startAll() {
 	for _, n := range s.nodes {
 		s.schedule(s.now.Add(time.Duration(s.random.IntN(300))*time.Millisecond), func() { s.start(n) })
@@ -175,24 +182,26 @@
 	s.run(300 * time.Millisecond)
 }
 
+// kill ends a machine's process. The machine stays powered.
 func (s *simulation) kill(n *simNode) {
 	n.running = false
 	n.incarnations++
 }
 
+// powerOff ends a machine's process by cutting the machine's power.
 func (s *simulation) powerOff(n *simNode) {
 	s.kill(n)
 	n.powered = false
 }
 
-// freeze suspends a machine; an earlier suspension that lasts longer stays in effect.
+// freeze suspends a machine for a span of time, unless it is suspended for longer already.
 func (s *simulation) freeze(n *simNode, span time.Duration) {
 	if until := s.now.Add(span); until.After(n.frozenUntil) {
 		n.frozenUntil = until
 	}
 }
 
-// whenNotFrozen runs an event on a machine as soon as it isn't frozen, unless its process has been restarted or killed.
+// whenNotFrozen runs an event of a process as soon as its machine isn't frozen, unless the process has ended by then.
 func (s *simulation) whenNotFrozen(n *simNode, incarnation int, run func()) {
 	if n.incarnations != incarnation {
 		return
@@ -204,8 +213,7 @@
 	run()
 }
 
-// loop is a process's timer loop. Messages may make something due earlier, which the simulation notices in time because
-// it polls every 10 ms.
+// loop runs one pass of a process's timer loop, and then schedules the next by poll.
 func (s *simulation) loop(n *simNode, incarnation int) {
 	s.whenNotFrozen(n, incarnation, func() {
 		calls := n.node.tick(s.now)
@@ -215,6 +223,8 @@
 	})
 }
 
+// poll schedules a check, in 10 ms, whether the process's next tick is due. It checks that often because a message may make
+// an action due earlier than the last tick returned.
 func (s *simulation) poll(n *simNode, incarnation int) {
 	next := s.now.Add(10 * time.Millisecond)
 	s.schedule(next, func() {
@@ -229,7 +239,7 @@
 	})
 }
 
-// putRecord puts a record into a node.
+// putRecord puts a record of a size in bytes into a node, which gossips it.
 func (s *simulation) putRecord(n *simNode, revision uint64, size int) {
 	n.node.putLocal(s.now, gossip.Entry{Table: gossip.TableRecord, Key: gossip.RecordKey,
 		Version: gossip.NewVersion(revision, 0), Value: make([]byte, size)})
@@ -257,7 +267,7 @@
 	}
 }
 
-// hasConverged reports whether for every running node exactly the running ones are live.
+// hasConverged reports whether every running node sees exactly the running ones as live.
 func (s *simulation) hasConverged() bool {
 	running := s.runningNodes()
 	for _, n := range running {
@@ -274,7 +284,7 @@
 	return true
 }
 
-// isSeenLive reports whether for a node another one is live.
+// isSeenLive reports whether a node sees another one as live.
 func isSeenLive(n, other *simNode) bool {
 	return slices.ContainsFunc(n.node.members.LiveMembers(), func(member state.Member) bool {
 		return member.Name == other.member.Name
--- a/serving/member/size_bench_test.go
+++ b/serving/member/size_bench_test.go
@@ -8,8 +8,8 @@
 	"rowanlink/serving/gossip"
 )
 
-// BenchmarkBySize simulates quiet seconds, and seconds with one change of a record of 8 KB, in systems of several
-// sizes. The traffic of one member must not grow with the size.
+// BenchmarkBySize simulates seconds in which nothing changes, and seconds with one change of a record of 8 KB, in systems
+// of several sizes. The traffic of one member must not grow with the number of members.
 func BenchmarkBySize(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 410} {
 		for _, record := range []int{0, 8 << 10} {
@@ -20,6 +20,7 @@
 	}
 }
 
+// benchmarkSize simulates a number of members and changes of a record, given its size in bytes; zero: without changes.
 func benchmarkSize(b *testing.B, members, record int) {
 	s := newConvergedSimulation(b, 1, members, threeZones)
 	s.run(10 * time.Second)
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -11,8 +11,8 @@
 
 // Intervals of a node's periodic actions.
 const (
-	sizeLogInterval = time.Second // least time between two log lines about the number of members
-	maxTickInterval = membership.HeartbeatInterval
+	sizeLogInterval = time.Second                  // least time between two log lines about the number of live members
+	maxTickInterval = membership.HeartbeatInterval // greatest time between two ticks
 )
 
 // heartbeatCall is a heartbeat to be sent.
@@ -21,20 +21,22 @@
 	request heartbeatRequest
 }
 
-// probeCall is a heartbeat to a member of whose life there is no evidence, and requests to other members to send it one.
+// probeCall is a probe of an unconfirmed member, one that there is no recent evidence of being alive. The local member sends
+// it a heartbeat and requests other members, the relays, to send it one too (an indirect probe, as SWIM's ping-req).
 type probeCall struct {
 	heartbeat heartbeatCall
 	relays    []gossip.Peer
 }
 
-// repairCall is a repair to be made.
+// repairCall is a repair to be made: an anti-entropy exchange, which compares the digests of tables with a peer and then
+// transfers the entries that either lacks.
 type repairCall struct {
-	to      gossip.Peer // of a seed only the address is known
+	to      gossip.Peer // only the address if toSeed is set
 	request compareRequest
-	seed    bool
+	toSeed  bool
 }
 
-// pendingCalls are the calls that a node requests.
+// pendingCalls are the calls that a tick of the node has decided on. The node makes no calls itself.
 type pendingCalls struct {
 	heartbeats []heartbeatCall
 	repairs    []repairCall
@@ -43,7 +45,7 @@
 	next       time.Time // time of the next tick
 }
 
-// tick executes the periodic actions that are due and returns the calls to make.
+// tick carries out the periodic actions that are due and returns the calls to make.
 func (n *node) tick(now time.Time) (calls pendingCalls) {
 	n.step(now, func() {
 		n.tickMembership()
@@ -54,7 +56,7 @@
 		n.planDownProbe(&calls)
 		n.planSuspicionProbes(&calls)
 		n.planConfirmationProbes(&calls)
-		n.planSeed(&calls)
+		n.planSeedCall(&calls)
 		n.finishStep()
 		calls.pushes = n.engine.TakeOutgoing(now)
 	})
@@ -63,7 +65,8 @@
 	return calls
 }
 
-// tickMembership runs the failure detector and gossips its suspicions.
+// tickMembership runs the failure detector, gossips its new suspicions and withdrawals, and removes the entries of members
+// that have been down or departed for long.
 func (n *node) tickMembership() {
 	suspicions, removed := n.members.Tick(n.now)
 	for _, suspicion := range suspicions {
@@ -75,7 +78,8 @@
 	n.finishStep()
 }
 
-// planHeartbeats requests the heartbeats of an interval and schedules the next interval.
+// planHeartbeats adds the heartbeats of this interval to the calls and schedules the next interval. A member that has left
+// sends none.
 func (n *node) planHeartbeats(calls *pendingCalls) {
 	n.members.RecordDelay(n.now.Sub(n.schedule.heartbeat))
 	n.schedule.heartbeat = n.now.Add(membership.HeartbeatInterval)
@@ -86,7 +90,7 @@
 	calls.heartbeats = n.heartbeatCalls()
 }
 
-// planRepair requests a repair that is due.
+// planRepair adds a repair to the calls if one is due.
 func (n *node) planRepair(calls *pendingCalls) {
 	if n.members.Self().State == state.MemberLeft {
 		return
@@ -97,8 +101,9 @@
 	}
 }
 
-// heartbeatCalls returns the heartbeats to the watchers; to those in other regions only every RemoteIntervalFactor-th
-// interval. Members whose own heartbeat is overdue get one too, which they respond to.
+// heartbeatCalls returns the heartbeats to the local member's watchers. Watchers in other regions get one in every
+// RemoteIntervalFactor-th interval only, and in the next interval if one of them got no response. Members whose own
+// heartbeats are overdue get one too, since their response shows that they are alive.
 func (n *node) heartbeatCalls() (calls []heartbeatCall) {
 	self := n.members.Self()
 	request := n.newHeartbeatRequest()
@@ -126,14 +131,14 @@
 	return membership.Heartbeat{Name: self.Name, Incarnation: self.Incarnation, Sequence: self.Sequence}
 }
 
-// newCompareRequest returns the first call of a repair of the tables, or of all tables where none is named.
+// newCompareRequest returns the request of a repair's first call, for the given tables or, if there are none, for all.
 func (n *node) newCompareRequest(tables []gossip.TableID) compareRequest {
 	return compareRequest{Heartbeat: n.ownHeartbeat(), Digests: n.engine.Digest(tables)}
 }
 
-// planSeed requests a repair with a seed that is due, see seedSchedule.
-func (n *node) planSeed(calls *pendingCalls) {
-	if n.members.Self().State == state.MemberLeft || n.now.Before(n.seeds.due) {
+// planSeedCall adds a repair with a seed to the calls if one is due, see seedSchedule.
+func (n *node) planSeedCall(calls *pendingCalls) {
+	if n.members.Self().State == state.MemberLeft || n.now.Before(n.seeds.dueAt) {
 		return
 	}
 	peers := n.peers()
@@ -149,11 +154,12 @@
 	if address == "" {
 		return
 	}
-	call := repairCall{to: gossip.Peer{Address: address}, request: n.newCompareRequest(nil), seed: true}
+	call := repairCall{to: gossip.Peer{Address: address}, request: n.newCompareRequest(nil), toSeed: true}
 	calls.repairs = append(calls.repairs, call)
 }
 
-// forgetMember removes the entry of a member that was removed, and all suspicions about or of it.
+// forgetMember removes the gossip entry of a member that was removed from the membership table, and all suspicions that are
+// about it or were issued by it.
 func (n *node) forgetMember(name string) {
 	n.engine.Forget(n.now, gossip.TableMembers, name)
 	for _, suspicion := range n.members.Suspicions() {
@@ -164,7 +170,7 @@
 	}
 }
 
-// logSize logs the number of live members if it has changed.
+// logSize logs the number of live members if it has changed, at most once in each sizeLogInterval.
 func (n *node) logSize() {
 	if n.now.Before(n.schedule.sizeLog) {
 		return
@@ -181,7 +187,7 @@
 	n.schedule.loggedSize = live
 }
 
-// nextTick returns the earliest time at which something is due.
+// nextTick returns the earliest time at which an action is due, at most maxTickInterval from now.
 func (n *node) nextTick() time.Time {
 	next := n.now.Add(maxTickInterval)
 	dueTimes := []time.Time{
@@ -190,7 +196,7 @@
 		n.engine.NextRepairTime(),
 		n.members.NextTimeout(),
 	}
-	if n.schedule.downProbeCount > 1 { // else the ordinary ticks suffice
+	if n.schedule.downProbeCount > 1 { // after a response; otherwise the probe may wait for the next regular tick
 		dueTimes = append(dueTimes, n.schedule.downProbe)
 	}
 	for _, due := range dueTimes {
@@ -201,9 +207,9 @@
 	if n.members.Self().State != state.MemberLeft {
 		next = n.nextProbe(next)
 	}
-	joining := len(n.members.LiveMembers()) == 1 || n.now.Sub(n.seeds.since) < joinPeriod
-	if len(n.seeds.addresses) > 0 && n.seeds.due.Before(next) && joining {
-		next = n.seeds.due
+	joining := len(n.members.LiveMembers()) == 1 || n.now.Sub(n.seeds.setAt) < joinPeriod
+	if len(n.seeds.addresses) > 0 && n.seeds.dueAt.Before(next) && joining {
+		next = n.seeds.dueAt
 	}
 	return next
 }
