--- a/serving/agent/agentstate.go
+++ b/serving/agent/agentstate.go
@@ -14,8 +14,8 @@
 	// confirmed that its record is the newest: the member that transferred the record may be partitioned from the voters.
 	// If no majority answers within this time, the agent publishes the record that it has.
 	confirmationTimeout = 3 * time.Second
-	// shutdownReserve is the part of the grace period, at whose end the process gets SIGKILL, that the agent doesn't spend
-	// waiting for its proxy: it needs the time to leave the membership.
+	// shutdownReserve is the time that the agent needs to leave the membership after it has waited for its proxy. It is part
+	// of the grace period, at whose end the process gets SIGKILL.
 	shutdownReserve = 300 * time.Millisecond
 )
 
--- a/serving/agent/publisher.go
+++ b/serving/agent/publisher.go
@@ -50,9 +50,9 @@
 	synced         bool                            // the data counts as complete
 	position       uint64                          // of the newest response
 	checkpoints    [checkpointsRetained]checkpoint // ring, by position
-	changed        chan struct{}                   // closed, and replaced, at each change
+	changed        chan struct{}                   // closed and replaced at each change of the data
 	applied        checkpoint                      // what the proxy has applied, according to its last poll
-	appliedChanged chan struct{}                   // closed, and replaced, at each change of applied
+	appliedChanged chan struct{}                   // closed and replaced at each change of applied
 	leases         rolloutLeases
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// wakePolls wakes the waiting polls.
+// wakePolls makes the waiting polls look for an update.
 func (p *publisher) wakePolls() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -89,9 +89,9 @@
 	}
 }
 
-// sweepEndpoints removes endpoints that departed long ago. It doesn't wake polls: the removal isn't
-// urgent, and the proxy receives it with the next update. The result of Sweep, which core members gossip, is ignored, since
-// agents don't decide on the state of endpoints.
+// sweepEndpoints removes endpoints that departed long ago. It doesn't wake polls: the removal isn't urgent, and the proxy
+// receives it with the next update. The endpoints that Sweep returns to be gossiped are ignored, since only core members
+// decide on the state of endpoints.
 func (p *publisher) sweepEndpoints(now time.Time) { p.endpoints.Sweep(now) }
 
 // setLoad stores an endpoint's load report.
@@ -117,8 +117,9 @@
 	}
 }
 
-// updateSince returns the delta from the cursor to the current data, or a snapshot if there is no delta from this cursor;
-// false if nothing has changed.
+// updateSince returns the changes since the cursor. It returns a snapshot instead if the cursor has no checkpoint, if the
+// checkpoint is partial and the agent is synced now, or if the table no longer knows the endpoints removed since. It
+// returns false if nothing has changed.
 func (p *publisher) updateSince(now time.Time, cursor subscription.Cursor) (*subscription.Response, bool) {
 	base, found := p.findCheckpoint(cursor)
 	if !found || base.partial && p.synced {
--- a/serving/agent/rollouts.go
+++ b/serving/agent/rollouts.go
@@ -31,7 +31,7 @@
 	sentAt  time.Time                      // when reports were last sent
 }
 
-// storeReports replaces the stored reports by the proxy's newest ones.
+// storeReports stores the proxy's newest reports in place of earlier ones on the same roll-outs.
 func (r *rolloutRelay) storeReports(reports []state.RolloutReport) {
 	if r.reports == nil {
 		r.reports = map[uint64]state.RolloutReport{}
@@ -59,9 +59,9 @@
 func (r *rolloutRelay) takeDue(now time.Time, record *state.Record) (reports []state.RolloutReport) {
 	inProgress := map[uint64]bool{}
 	if record != nil {
-		for _, known := range record.Rollouts {
-			if known.State == state.RolloutInProgress {
-				inProgress[known.OrderRevision] = true
+		for _, current := range record.Rollouts {
+			if current.State == state.RolloutInProgress {
+				inProgress[current.OrderRevision] = true
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 // the roll-out's lease.
 type rolloutLeases struct {
 	expiry   map[uint64]time.Time // by OrderRevision
-	position uint64               // increases with each renewal
+	position uint64               // increases with each renewal; updates are computed since a position
 }
 
 // renew stores leases that were requested at a time. They are counted from the request rather than from the response, so
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -10,10 +10,12 @@
 
 // Limits of the calls to other members.
 const (
+	// defaultTimeout applies to all calls without another time-out below.
 	defaultTimeout = 400 * time.Millisecond
 	// relayedHeartbeatTimeout applies to the heartbeat that a relay sends at another member's request.
 	relayedHeartbeatTimeout = 700 * time.Millisecond
-	// relayRequestTimeout applies to the request to a relay. It is longer than relayedHeartbeatTimeout, which runs meanwhile.
+	// relayRequestTimeout applies to the request to a relay. It is longer than relayedHeartbeatTimeout, since the relay responds
+	// only after its heartbeat got a response or timed out.
 	relayRequestTimeout = 1100 * time.Millisecond
 	// bulkTimeout applies to pushes that carry more than bulkThreshold, and to the second call of a repair.
 	bulkTimeout   = 2 * time.Second
--- a/serving/member/property_test.go
+++ b/serving/member/property_test.go
@@ -10,12 +10,12 @@
 	"rowanlink/serving/membership"
 )
 
-// stabilizationPeriod is how long a machine and its paths must have been free of faults before the tests require that
-// members judge it correctly. It is longer than any suspicion timeout, so that heartbeats arrive regularly again after a
+// stabilizationPeriod is how long a machine and its paths must have been free of faults before the tests check whether
+// members have it marked as down. It is longer than any suspicion timeout, so that heartbeats arrive regularly again after a
 // fault that had stopped them.
 const stabilizationPeriod = 6 * time.Second
 
-// path is the path from one zone to another, in this direction only.
+// path is the network path from one zone to another. Its two directions fail independently.
 type path struct{ from, to string }
 
 func (p path) reverse() path { return path{from: p.to, to: p.from} }
@@ -266,8 +266,8 @@
 
 // TestMembers_DeadWatcherBesidePartition reproduces a failure that generated faults found on 2 December 2026. A machine that
 // watches both members of zone b dies. Zone c, which watches both of them too, loses its path to zone b. The third watcher
-// of each is the other one of the two. If suspected watchers had no vote, all others would mark both as down, though zone a
-// reaches them.
+// of each of the two members is the other one. If suspected watchers had no vote, all other members would mark both as down,
+// though zone a reaches them.
 func TestMembers_DeadWatcherBesidePartition(t *testing.T) {
 	r := newFaultRun(t, 0, 7)
 	r.powerOffNode(6)
--- a/serving/member/rejoin.go
+++ b/serving/member/rejoin.go
@@ -43,7 +43,8 @@
 	n.schedule.downProbeCount = min(n.schedule.downProbeCount+1, maxDownProbes)
 }
 
-// membersToRejoin returns the members that are down or forgotten, and drops those from forgotten that no longer are.
+// membersToRejoin returns the members that are down or forgotten. It also deletes members from n.forgotten that are no longer
+// forgotten, see isForgotten.
 func (n *node) membersToRejoin() (peers []gossip.Peer) {
 	for _, member := range n.members.DownMembers() {
 		peers = append(peers, peerOf(member))
@@ -60,7 +61,7 @@
 
 // recordForgotten takes the headers of entries that have expired here but not at another member, and records the members
 // among them as forgotten. Such a member was down here until it was removed, but may be running. Its expired version isn't
-// accepted here again, and only the member itself can issue a newer one: so it is called and requested to do that.
+// accepted here again, and only the member itself can issue a newer one. So down probes call it, and request it to do that.
 func (n *node) recordForgotten(expired []gossip.Header) {
 	for _, header := range expired {
 		if header.Table != gossip.TableMembers {
--- a/serving/member/replication.go
+++ b/serving/member/replication.go
@@ -14,10 +14,10 @@
 // hedgeDelay is how long replication waits for further acknowledgements before it sends the entry to one more member.
 const hedgeDelay = 120 * time.Millisecond
 
-// PutReplicated stores and gossips an entry, and besides sends it directly to other live members, core members first. It
-// returns when as many other members as copies says have acknowledged that they have the entry in memory. Errors are
-// errcode.TooFewMembers if fewer other members are live, and errcode.NotAcknowledged if ctx ended or all have been tried
-// before enough acknowledged. The entry is gossiped even if an error is returned.
+// PutReplicated stores an entry, gossips it, and also sends it directly to other live members, core members first. It returns
+// when the given number of copies has been acknowledged: so many other members have the entry in memory. Errors are
+// errcode.TooFewMembers if fewer other members are live, and errcode.NotAcknowledged if ctx ends or all members have been
+// tried before. The entry is gossiped even if an error is returned.
 func (s *Service) PutReplicated(ctx context.Context, entry gossip.Entry, copies int) error {
 	targets := query(s, func(now time.Time, n *node) []gossip.Peer {
 		n.putLocal(now, entry)
@@ -40,9 +40,9 @@
 	return pending.wait(callContext, copies)
 }
 
-// replicaTargets returns the other live members in the order in which to send them an entry: core members before agents,
-// among each of them the local region first, and otherwise at random. Members that gossip avoids, since they didn't respond
-// lately, come last.
+// replicaTargets returns the other live members in the order in which to send an entry to them: first core members, then
+// agents; of either role first those of the local region; otherwise at random. Members that the gossip engine avoids, since
+// they didn't respond lately, come last.
 func (n *node) replicaTargets() []gossip.Peer {
 	self := n.members.Self()
 	live := slices.Clone(n.members.LiveMembers())
@@ -71,7 +71,7 @@
 	return append(targets, avoided...)
 }
 
-// replication is one execution of PutReplicated: it sends an entry to members until enough have acknowledged it.
+// replication is the state of one call of PutReplicated.
 type replication struct {
 	service  *Service
 	entry    gossip.Entry
@@ -101,8 +101,8 @@
 	return true
 }
 
-// wait waits until as many members as copies says have acknowledged the entry. It sends the entry to a further target after
-// each failed call, and in every hedgeDelay in case the calls in flight are slow.
+// wait waits until the number of copies has been acknowledged. It sends the entry to one more target after each failed call
+// and at each end of hedgeDelay, in case the calls in flight are slow.
 func (r *replication) wait(ctx context.Context, copies int) error {
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
