--- a/serving/agent/restart_test.go
+++ b/serving/agent/restart_test.go
@@ -98,7 +98,7 @@
 	}
 	require.Eventually(t, func() bool {
 		request.Since = proxy.cursor
-		response, err := subscription.Watch.Call(t.Context(), client, address, request)
+		response, err := subscription.WatchMethod.Call(t.Context(), client, address, request)
 		if err == nil {
 			proxy.apply(response)
 		}
--- a/serving/agent/run.go
+++ b/serving/agent/run.go
@@ -149,6 +149,6 @@
 		announceProxy:       a.announceProxy,
 		forwardObservations: forwardObservations,
 	}
-	subscription.Watch.Serve(mux, server.watch)
+	subscription.WatchMethod.Serve(mux, server.watch)
 	return mux
 }
--- a/serving/agent/run_test.go
+++ b/serving/agent/run_test.go
@@ -73,7 +73,7 @@
 	var response *subscription.Response
 	require.Eventually(t, func() (up bool) {
 		var err error
-		response, err = subscription.Watch.Call(ctx, client, process.SubscriptionAddress(), request)
+		response, err = subscription.WatchMethod.Call(ctx, client, process.SubscriptionAddress(), request)
 		return err == nil
 	}, 10*time.Second, 10*time.Millisecond)
 	assert.Nil(t, response.Record)
--- a/serving/agent/subscriptionserver.go
+++ b/serving/agent/subscriptionserver.go
@@ -19,7 +19,7 @@
 	maxPollWait = 10 * time.Second
 )
 
-// subscriptionServer answers the long polls of the proxy (subscription.Watch).
+// subscriptionServer answers the long polls of the proxy (subscription.WatchMethod).
 type subscriptionServer struct {
 	stateActor *actor.Actor[agentState]
 	now        func() time.Time
@@ -36,7 +36,7 @@
 	hasUpdate bool
 }
 
-// watch implements subscription.Watch.
+// watch implements subscription.WatchMethod.
 func (s *subscriptionServer) watch(ctx context.Context, request *subscription.Request) (*subscription.Response, error) {
 	s.stateActor.Send(func(owned *agentState) {
 		owned.proxy.pollOpened(s.now(), request)
--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -100,7 +100,7 @@
 
 		SupportsRollouts: true,
 	}
-	response, err = subscription.Watch.Call(ctx, a.client, a.address, &request)
+	response, err = subscription.WatchMethod.Call(ctx, a.client, a.address, &request)
 	interrupted = a.endPoll()
 	if err == nil || interrupted { // the agent applies a request before it waits for updates
 		a.pending = nil
--- a/serving/proxy/proxy_test.go
+++ b/serving/proxy/proxy_test.go
@@ -118,7 +118,7 @@
 func startAgent(t *testing.T, address string) *fakeAgent {
 	a := &fakeAgent{responses: make(chan *subscription.Response), requests: make(chan subscription.Request, 100)}
 	mux := http.NewServeMux()
-	subscription.Watch.Serve(mux, a.watch)
+	subscription.WatchMethod.Serve(mux, a.watch)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 	require.NoError(t, err)
 	server := &http.Server{Handler: mux}
--- a/serving/subscription/subscription.go
+++ b/serving/subscription/subscription.go
@@ -7,9 +7,9 @@
 	"rowanlink/serving/state"
 )
 
-// Watch is the call that the proxy makes to its agent over loopback. The agent responds at once if its data has changed
+// WatchMethod is the call that the proxy makes to its agent over loopback. The agent responds at once if its data has changed
 // since Request.Since, and otherwise when the data changes or Request.WaitMillis is over.
-var Watch = rpc.Method[Request, Response]{Procedure: "/rowanlink.feed.v1/Watch"}
+var WatchMethod = rpc.Method[Request, Response]{Procedure: "/rowanlink.feed.v1/Watch"}
 
 // Cursor identifies a response of an agent, and so the data that a proxy has after it has applied that response. The zero
 // value requests a snapshot.
