--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// serveLookup answers a look-up with addresses, or with an error if the agent isn't ready or knows no ready proxy.
 func (h *lookupHandler) serveLookup(w http.ResponseWriter, r *http.Request) {
 	if !h.isReady() {
 		writeError(w, errcode.DirectoryEmpty)
@@ -58,6 +59,7 @@
 	writeJSON(w, http.StatusOK, lookupResponse{Addresses: addresses, TTLSeconds: ttl.Seconds()})
 }
 
+// chooseAddresses chooses addresses among those of the live members. It is safe for concurrent use.
 func (h *lookupHandler) chooseAddresses(client clientLocation) []string {
 	members := h.members()
 	h.mutex.Lock()
