--- a/serving/agent/lookuphandler.go
+++ b/serving/agent/lookuphandler.go
@@ -11,8 +11,8 @@
 	"rowanlink/serving/state"
 )
 
-// defaultTTL is how long clients should cache an answer. Some cache it three times as long; a proxy that shuts down
-// takes requests for a little longer than that.
+// defaultTTL is how long clients should cache an answer. Some clients cache it three times as long, so a proxy that shuts
+// down goes on accepting requests for slightly more than three times this TTL.
 const defaultTTL = time.Second
 
 // lookupHandler is the directory: it answers clients that look up the addresses of proxies.
@@ -39,6 +39,7 @@
 	}
 }
 
+// serveLookup answers a look-up with addresses, or with an error if the agent isn't ready or knows no ready proxy.
 func (h *lookupHandler) serveLookup(w http.ResponseWriter, r *http.Request) {
 	if !h.isReady() {
 		writeError(w, errcode.DirectoryEmpty)
@@ -58,6 +59,7 @@
 	writeJSON(w, http.StatusOK, lookupResponse{Addresses: addresses, TTLSeconds: ttl.Seconds()})
 }
 
+// chooseAddresses chooses addresses among those of the live members. It is safe for concurrent use.
 func (h *lookupHandler) chooseAddresses(client clientLocation) []string {
 	members := h.members()
 	h.mutex.Lock()
@@ -65,11 +67,12 @@
 	return chooseAddresses(members, client, h.random)
 }
 
+// writeError writes the error response for a kind of error.
 func writeError(w http.ResponseWriter, kind errcode.Kind) {
 	writeJSON(w, kind.Status, lookupError{Error: kind.Message, Code: uint16(kind.Code)})
 }
 
-// writeJSON writes a JSON response. A failed write is ignored: the client has disconnected.
+// writeJSON writes a JSON response. A failed write is ignored, since it means that the client has disconnected.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
