--- a/webhook/api/attempt.go
+++ b/webhook/api/attempt.go
@@ -3,17 +3,17 @@
 // Outcome is how a delivery attempt ended.
 type Outcome uint8
 
-// Outcomes. The numbers are stored and sent: they never change.
+// The outcomes. Their numbers are stored and sent over the network, so they must never change.
 const (
 	Delivered         Outcome = iota
-	ErrorResponse             // answered with an error; it may have taken effect
-	Rejected                  // turned down unprocessed, for a limit
-	TimedOut                  // no answer in time; it may still take effect
-	ConnectFailed             // no connection in time
+	ErrorResponse             // the destination answered with an error; the attempt may have taken effect
+	Rejected                  // the destination refused the attempt because of a limit, without processing it
+	TimedOut                  // no answer in time; the attempt may still take effect
+	ConnectFailed             // no connection was established in time
 	ConnectionReset           // the connection broke while the attempt was in flight
 	Cancelled                 // cancelled by this dispatcher
-	NotSent                   // not made: no slot, too late, or too many attempts
-	ConnectionLimited         // the endpoint answered that it accepts no further connection
+	NotSent                   // the attempt was not made: no free slot, too late, or too many attempts
+	ConnectionLimited         // the endpoint answered that it accepts no further connections
 )
 
 // NeverRan reports whether the outcome proves that the attempt took no effect.
@@ -21,17 +21,17 @@
 	return o == Rejected || o == ConnectFailed || o == NotSent || o == ConnectionLimited
 }
 
-// MayStillRun reports whether the destination may go on working on the attempt after the outcome.
+// MayStillRun reports whether the destination may still be processing an attempt that has ended with the outcome.
 func (o Outcome) MayStillRun() bool { return o == TimedOut || o == ConnectionReset || o == Cancelled }
 
-// AttemptResult is the end of one delivery attempt.
+// AttemptResult is the result of one delivery attempt.
 type AttemptResult struct {
 	Webhook  WebhookID
 	Endpoint EndpointID
 	Outcome  Outcome
 	Latency  Micros // from the start of the attempt
-	// Final is set where the webhook has its final answer and needs no further attempt.
+	// Final is set if the result is the webhook's final answer, so that no further attempt is needed.
 	Final bool
-	// RetryAfter is the delay before the next call that the destination asked for; 0: none.
+	// RetryAfter is the delay that the destination requested before the next call; 0 if it requested none.
 	RetryAfter Micros
 }
--- a/webhook/config/config.go
+++ b/webhook/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the dispatcher's settings, in the names that the users' pages give them, into api.Settings: the
-// simulator's path=value pairs and the nested JSON of a real dispatcher's configuration alike. JSON is first flattened
-// into such pairs.
+// Package config reads the dispatcher's settings into api.Settings. The simulator gives them as path=value pairs, and a
+// production dispatcher's configuration as nested JSON, which is flattened into such pairs first. The keys are those of
+// the user documentation.
 package config
 
 import (
@@ -13,26 +13,27 @@
 	"rowanlink/webhook/api"
 )
 
-// registryPushed is the value of registryMode where lists are pushed. All else means that they are requested, which
-// spreads the dispatchers' requests.
+// registryPushed is the value of the setting registryMode that has endpoint lists pushed to the dispatcher. With any
+// other value the dispatchers request the lists, at different times.
 const registryPushed = "push"
 
-// weightSources are the values of weightSource. Without one, lists state no rates.
+// weightSources are the allowed values of the setting weightSource. If it is empty, endpoint lists contain no rates.
 var weightSources = []string{"", "silent", "nominal", "rough", "live"}
 
-// Catalog holds the names by which lists and webhooks refer to an index in api.Settings, and whether lists are pushed.
+// Catalog holds the names that endpoint lists and webhooks use. A name's position is its index in a list of
+// api.Settings.
 type Catalog struct {
 	EventTypes, Tenants, Kinds, Zones []string
-	PushedLists                       bool
+	PushedLists                       bool // endpoint lists are pushed to the dispatcher
 }
 
-// FromPairs reads settings as the simulator gives them: a path=value pair per line.
+// FromPairs reads settings in the simulator's form, with one path=value pair per line.
 func FromPairs(seed uint64, text string) (api.Settings, error) {
 	return readSettings(seed, parsePairs(text))
 }
 
-// FromJSON reads settings as nested JSON. It also returns the time after which an idle connection to an endpoint is
-// closed.
+// FromJSON reads settings from nested JSON. It also returns how long a connection to an endpoint may be idle before it
+// is closed.
 func FromJSON(seed uint64, document gjson.Result) (api.Settings, Catalog, api.Micros, error) {
 	p := &pairs{values: map[string]string{}}
 	p.flatten("", document)
@@ -48,7 +49,8 @@
 	return settings, catalog, idleTimeout, err
 }
 
-// names returns the names in a list, in its order; an entry without a name keeps its index.
+// names returns the names of a list's entries in their order. An entry without a name yields an empty string, so
+// that the others keep their index.
 func names(document gjson.Result, path string) (all []string) {
 	for _, v := range document.Get(path).Array() {
 		if v.IsObject() {
@@ -59,9 +61,10 @@
 	return all
 }
 
-// CheckReload returns an error where settings can't replace those of a running dispatcher. Webhooks in memory and in the
-// write-ahead log refer to their event type and tenant by index: a name keeps its index, new ones are appended, and only
-// the last may be removed. The routes of a kind can't be separated or joined while calls are in flight.
+// CheckReload returns an error if the new settings (after) can't replace the current ones (before) of a running
+// dispatcher. Webhooks in memory and in the write-ahead log refer to their event type and tenant by index, so a name
+// must keep its index: new names are appended, and names are removed only from the end. SeparateRoutes of a
+// destination kind can't change while calls are in flight.
 func CheckReload(before, after api.Settings, namesBefore, namesAfter Catalog) error {
 	for _, list := range []struct {
 		key           string
@@ -74,7 +77,7 @@
 	} {
 		for i := range min(len(list.before), len(list.after)) {
 			if list.before[i] != list.after[i] {
-				return fmt.Errorf("settings %s.%d: %q replaces %q: a name keeps its place, new ones follow the last",
+				return fmt.Errorf("settings %s.%d: %q replaces %q: a name must keep its index, new names follow the last",
 					list.key, i, list.after[i], list.before[i])
 			}
 		}
@@ -87,8 +90,8 @@
 	return nil
 }
 
-// ReportPositions returns the indexes, in a load report, of the share of the limit that is left and of the limit; -1
-// where reports don't contain it.
+// ReportPositions returns the index in a load report's fields of the unused fraction of the limit (headroom), and that
+// of the limit itself. An index is -1 if reports don't contain the field.
 func ReportPositions(text string) (headroom, limit int) {
 	fields := parsePairs(text).list("reporting.names")
 	return slices.Index(fields, "x0"), slices.Index(fields, "x1")
@@ -128,7 +131,7 @@
 		return settings, err
 	}
 	if len(eventTypes) == 0 {
-		p.fail(fmt.Errorf("settings name no class"))
+		p.fail(fmt.Errorf("settings contain no classes"))
 	}
 	return settings, p.err
 }
--- a/webhook/config/pairs.go
+++ b/webhook/config/pairs.go
@@ -11,14 +11,15 @@
 	"rowanlink/webhook/api"
 )
 
-// Bounds of numbers in settings.
+// Bounds and units of numbers in settings.
 const (
 	maxNumber          = 1 << 62
 	maxCount           = 1 << 31
 	nanosecondsPerUnit = 1000 // settings are in nanoseconds, api.Micros in microseconds
 )
 
-// pairs are settings as path=value. Unknown keys are ignored; err is that of the first invalid value.
+// pairs holds settings as path=value pairs and reads typed values from them. Unknown keys are ignored. err is the error
+// of the first invalid value.
 type pairs struct {
 	values map[string]string
 	err    error
@@ -34,14 +35,15 @@
 	return p
 }
 
-// fail keeps the first error.
+// fail records an error unless there is one already.
 func (p *pairs) fail(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
-// flatten adds a JSON value as the pairs that the simulator gives for it: a.b=value, a.0.b=value, a.count=n, a=x,y.
+// flatten adds a JSON value as the path=value pairs that the simulator gives for it: a.b=value for objects, a.0.b=value
+// and a.count=n for arrays of objects, and a=x,y for arrays of scalars.
 func (p *pairs) flatten(path string, v gjson.Result) {
 	below := func(name string) string { return strings.TrimPrefix(path+"."+name, ".") }
 	switch {
@@ -83,12 +85,12 @@
 
 func (p *pairs) flag(key string) bool { return p.values[key] == "true" }
 
-// microsRoundedDown and microsRoundedUp convert nanoseconds. The direction of rounding is chosen so that the setting's limit
-// is respected.
+// microsRoundedDown converts a setting in nanoseconds. It rounds down, for durations that must not be exceeded.
 func (p *pairs) microsRoundedDown(key string) api.Micros {
 	return api.Micros(math.Floor(p.number(key) / nanosecondsPerUnit))
 }
 
+// microsRoundedUp converts a setting in nanoseconds. It rounds up, for durations that must be waited in full.
 func (p *pairs) microsRoundedUp(key string) api.Micros {
 	return api.Micros(math.Ceil(p.number(key) / nanosecondsPerUnit))
 }
@@ -100,7 +102,8 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// entries is how many objects a list holds; no list is longer than the settings have pairs.
+// entries returns the number of objects in a list. It is limited to the number of pairs, so that a wrong count can't
+// cause a huge list.
 func (p *pairs) entries(key string) int {
 	return min(p.count(key+".count"), len(p.values))
 }
