--- a/webhook/simadapter/decode.go
+++ b/webhook/simadapter/decode.go
@@ -7,7 +7,8 @@
 	"rowanlink/webhook/api"
 )
 
-// decode reads an event's fields and returns the call that it makes on the instance's policy, or nil where it makes none.
+// decode reads an event's fields and returns the call on the instance's policy that the event causes, or nil if it causes
+// none.
 func (s *server) decode(in *instance, code byte, f *fields) (call func(), err error) {
 	switch code {
 	case eventTopology:
@@ -101,7 +102,7 @@
 	}, nil
 }
 
-// decodeReport reads a load report; it returns nil where there is none, or where it lacks the fields that are used.
+// decodeReport reads a load report. It returns nil if there is none, or if it lacks the fields that are used.
 func decodeReport(in *instance, f *fields, endpoint api.EndpointID) *api.LoadReport {
 	values := make([]float64, f.u8())
 	for i := range values {
@@ -117,7 +118,7 @@
 	}
 }
 
-// define stores a list under its number until another list takes it.
+// define stores an endpoint list under its number. A later list of the same number replaces it.
 func (s *server) define(f *fields) error {
 	number, n := f.u16(), f.u32()
 	if f.truncated || uint64(n)*entryLen > uint64(len(f.rest)) {
--- a/webhook/simadapter/instance.go
+++ b/webhook/simadapter/instance.go
@@ -8,24 +8,25 @@
 	"rowanlink/webhook/api"
 )
 
-// instance is one dispatcher: its policy and the api.Host that the policy acts through.
+// instance is one simulated dispatcher. It has a policy and is the api.Host of that policy.
 type instance struct {
 	server *server
 	id     uint16
 	policy api.Policy
 
-	inTurn bool // it had an event in this batch
-	dead   bool // killed, or its policy has panicked
-	killed bool // its actions of this batch must not reach its next incarnation
+	inTurn bool // an event of this batch has called the policy
+	dead   bool // the instance was killed, or its policy has panicked
+	killed bool // its actions of this batch are dropped: the simulator would apply them to a new instance of the same id
 
-	headroomIndex int // positions in a load report, or -1
-	limitIndex    int
+	headroomIndex int // position of the headroom in a load report, or -1
+	limitIndex    int // position of the limit in a load report, or -1
 
-	actions     []byte // of this batch, encoded
+	actions     []byte // the encoded actions of this batch
 	actionCount uint32
 }
 
-// recoverPanic makes a panic in the policy this instance's last action instead of the end of the process.
+// recoverPanic runs call, a call on the policy. If the policy panics, the instance's last action reports the panic, and
+// the process and its other instances continue.
 func (in *instance) recoverPanic(call func()) {
 	if in.dead {
 		return
@@ -39,7 +40,7 @@
 	call()
 }
 
-// appendAction writes an action's header and instance; size is that of the fields after these.
+// appendAction appends an action's header and instance id. size is the length of the fields that the caller appends.
 func (in *instance) appendAction(code byte, size int) {
 	in.actionCount++
 	in.actions = append(in.actions, code)
@@ -62,10 +63,10 @@
 	in.actions = append(in.actions, text...)
 }
 
-// Now returns the batch's time.
+// Now returns the time of the current batch.
 func (in *instance) Now() api.Micros { return micros(in.server.clock) }
 
-// StartAttempt sends an attempt. The simulator has no latest time for its beginning.
+// StartAttempt starts an attempt. The simulator does not support a latest start time, so it is ignored.
 func (in *instance) StartAttempt(id api.WebhookID, endpoint api.EndpointID, timeout, _ api.Micros) {
 	in.appendAction(actionAttempt, 16)
 	in.appendUint32(uint32(id))
@@ -87,7 +88,7 @@
 	in.appendUint64(nanoseconds(retryAfter))
 }
 
-// DeadLetter gives a webhook up.
+// DeadLetter dead-letters a webhook.
 func (in *instance) DeadLetter(id api.WebhookID) {
 	in.appendAction(actionSurrender, 4)
 	in.appendUint32(uint32(id))
@@ -106,7 +107,7 @@
 	in.appendUint32(uint32(endpoint))
 }
 
-// Log writes a line into the simulator's record.
+// Log adds a line to the simulator's log.
 func (in *instance) Log(text string) { in.appendText(actionRecord, text) }
 
 func micros(nanoseconds uint64) api.Micros { return api.Micros(nanoseconds / nanosecondsPerMicro) }
--- a/webhook/simadapter/protocol.go
+++ b/webhook/simadapter/protocol.go
@@ -13,43 +13,43 @@
 	eventOpen     = 1  // an instance starts
 	eventTopology = 2  // an endpoint list for an instance
 	eventNew      = 3  // a webhook is submitted
-	eventFirst    = 4  // the first byte of a stream: no deployment has streams
+	eventFirst    = 4  // the first byte of a streamed response has arrived; ignored, since webhooks are not streamed
 	eventOutcome  = 5  // an attempt has ended
-	eventVanished = 6  // the client has left
+	eventVanished = 6  // a webhook's client no longer waits for it
 	eventWakeup   = 7  // a timer has fired
-	eventEcho     = 8  // a health check's answer: the policy sends none
-	eventPeer     = 9  // a message between dispatchers: none are sent
+	eventEcho     = 8  // the answer to a health check; ignored, since the policy sends no health checks
+	eventPeer     = 9  // a message from another dispatcher; ignored, since the policy sends none
 	eventDetach   = 10 // an instance is killed
-	eventDefine   = 11 // an endpoint list gets a number
+	eventDefine   = 11 // an endpoint list is stored under a number for eventTopology
 )
 
 // Codes of actions that the adapter answers with.
 const (
-	actionAttempt   = 1
-	actionSurrender = 2
-	actionCrash     = 4
-	actionClose     = 5
-	actionRecord    = 6
-	actionTimer     = 9
-	actionRevoke    = 10
-	actionBounce    = 12
+	actionAttempt   = 1  // start an attempt
+	actionSurrender = 2  // dead-letter a webhook
+	actionCrash     = 4  // the policy has panicked
+	actionClose     = 5  // close an endpoint's idle connections
+	actionRecord    = 6  // write to the log
+	actionTimer     = 9  // set a timer
+	actionRevoke    = 10 // cancel an attempt
+	actionBounce    = 12 // reject a webhook
 )
 
 // Forms of an endpoint list in eventTopology.
 const (
-	listDelta    = 0
+	listDelta    = 0 // only the entries that have changed
 	listComplete = 1
 	listCached   = 2 // complete, from the instance's own storage
 	listFailed   = 3 // the request failed: there is no list
 )
 
-// Sizes, in bytes unless stated otherwise.
+// Sizes in bytes, except listNumbers.
 const (
 	headerLen       = 16
 	replyHeaderLen  = 12
 	recordHeaderLen = 5 // code and length
 	entryLen        = 23
-	listNumbers     = 16 // lists
+	listNumbers     = 16 // how many endpoint lists can be stored: numbers 0 to 15
 	maxText         = 1 << 10
 	bufferLen       = 1 << 20
 )
@@ -59,7 +59,7 @@
 	microsPerMillisecond = 1000
 )
 
-// outcomes maps the simulator's outcome codes, from 0.
+// outcomes is indexed by the simulator's outcome codes.
 var outcomes = [...]api.Outcome{
 	api.ErrorResponse,
 	api.Delivered,
@@ -71,12 +71,12 @@
 	api.NotSent,
 }
 
-// endpointStatuses maps the simulator's endpoint states, from 0.
+// endpointStatuses is indexed by the simulator's endpoint states.
 var endpointStatuses = [...]api.EndpointStatus{api.EndpointActive, api.EndpointRemoved, api.EndpointDraining}
 
 var errShort = errors.New("the record is shorter than its fields")
 
-// fields reads a record's fields in order. Past the end it returns zeros and sets truncated.
+// fields reads a record's fields in order. Reading past the end returns zeros and sets truncated.
 type fields struct {
 	rest      []byte
 	truncated bool
--- a/webhook/simadapter/server.go
+++ b/webhook/simadapter/server.go
@@ -1,10 +1,10 @@
-// Package simadapter puts the decision policy on the simulator's wire: it reads batches of events for many instances that
-// share nothing, turns each event into a call on its instance's policy, and answers with what the policies do. The names of
-// the wire format aren't used outside this package.
+// Package simadapter connects the delivery policy to the simulator. It reads batches of events for many independent
+// instances, translates each event into a call on its instance's policy, and replies with the policies' actions. The
+// simulator's terms are used only in this package.
 //
-// All numbers are little-endian. A batch is a header of 16 bytes (length of the body, clock in nanoseconds, sequence
-// number) and records of a code, a length and fields; the reply is a header of 12 bytes (length, number of actions,
-// sequence number) and actions of the same form.
+// All numbers are little-endian. A batch consists of a header of 16 bytes (length of the body, clock in nanoseconds,
+// sequence number) and of records, each with a code, a length and fields. The reply consists of a header of 12 bytes
+// (length of the body, number of actions, sequence number) and of actions in the same form as records.
 package simadapter
 
 import (
@@ -18,7 +18,8 @@
 	"rowanlink/webhook/config"
 )
 
-// Serve answers batches from in until it ends. An error means that the input was malformed or broke off.
+// Serve reads batches from in and writes the replies to out, until the end of the input. It returns an error if the
+// input is malformed or incomplete, or if a reply can't be written.
 func Serve(in io.Reader, out io.Writer, newPolicy func(api.Settings, api.Host) api.Policy) error {
 	s := &server{newPolicy: newPolicy, instances: map[uint16]*instance{}}
 	r, w := bufio.NewReaderSize(in, bufferLen), bufio.NewWriterSize(out, bufferLen)
@@ -46,7 +47,8 @@
 	}
 }
 
-// readBody grows the buffer as bytes arrive, so that a false length costs no memory.
+// readBody reads length bytes into body. It grows the buffer only as bytes arrive, so that a wrong length in a header
+// can't cause a huge allocation.
 func readBody(r io.Reader, body []byte, length int) ([]byte, error) {
 	for len(body) < length {
 		have := len(body)
@@ -65,7 +67,7 @@
 	defined   [listNumbers]bool
 
 	clock       uint64      // of the batch, in nanoseconds
-	active      []*instance // had an event in this batch, in the order of the first one
+	active      []*instance // the instances whose policy was called in this batch, in the order of their first call
 	reply       []byte
 	actionCount uint32
 }
@@ -84,7 +86,7 @@
 	return w.Flush()
 }
 
-// handleBatch handles all events of a batch, and then ends the turn of each instance that had one.
+// handleBatch handles all events of a batch, and then ends the turn of each instance whose policy was called.
 func (s *server) handleBatch(body []byte) error {
 	s.reply = s.reply[:0]
 	s.actionCount = 0
@@ -95,7 +97,7 @@
 		}
 		code, n := body[0], int(binary.LittleEndian.Uint32(body[1:]))
 		if rest := len(body) - recordHeaderLen; n > rest {
-			return fmt.Errorf("record of code %d claims %d bytes, %d are left", code, n, rest)
+			return fmt.Errorf("record of code %d has a length of %d bytes, but only %d are left", code, n, rest)
 		}
 		end := recordHeaderLen + n
 		if err := s.handleEvent(code, &fields{rest: body[recordHeaderLen:end]}); err != nil {
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// open starts an instance; one of the same number is removed.
+// open starts an instance. It replaces an instance with the same id.
 func (s *server) open(id uint16, f *fields) error {
 	seed := f.u64()
 	text := string(f.text(f.u32()))
@@ -182,7 +184,7 @@
 	}
 }
 
-// remove forgets an instance, and the actions that it would still have taken in this batch.
+// remove deletes an instance and drops its actions of this batch.
 func (s *server) remove(id uint16) {
 	if in := s.instances[id]; in != nil {
 		in.dead = true
