--- a/cluster/resource.go
+++ b/cluster/resource.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Resource names what a lease is held on: something that only one member may do at a time. Operators may name
-// resources of their own besides those defined here.
+// Resource is the name of what a lease is held on: a task that only one member may do at a time. Operators may use
+// resources besides those defined here.
 type Resource string
 
-// LeaseHolder says who holds the lease on a resource, and by which grant.
+// LeaseHolder identifies the holder of the lease on a resource, and the grant by its epoch.
 type LeaseHolder struct {
 	Session SessionID
 	Member  MemberID
@@ -34,11 +34,11 @@
 // SiteSenderResource is held by the member that sends to the relay of a site.
 func SiteSenderResource(s SiteID) Resource { return siteSenderPrefix + Resource(s) }
 
-// DepartureSlotResource is one of the slots, counted from 0, that limit how many members leave at once in a
-// planned restart.
+// DepartureSlotResource is held by a member that leaves in a planned restart. The number of slots, counted from 0,
+// limits how many members leave at once.
 func DepartureSlotResource(slot int) Resource { return departurePrefix + Resource(strconv.Itoa(slot)) }
 
-// OwnedRange is the range whose owner holds the resource; false for any other resource.
+// OwnedRange returns the range whose owner holds the resource, or false if it is not the resource of a range owner.
 func (r Resource) OwnedRange() (RangeID, bool) {
 	text, hasPrefix := strings.CutPrefix(string(r), rangeOwnerPrefix)
 	id, err := strconv.ParseUint(text, 10, 32)
