--- a/cluster/site/announcement.go
+++ b/cluster/site/announcement.go
@@ -5,8 +5,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// submit accepts announcements: each subscriber's webhook has a result of its own from here on. Everything else goes
-// to the next handler.
+// submit accepts announcements. It turns an announcement into one webhook for each subscriber of its list, each with
+// its own result. Webhooks that are not announcements go to the next handler.
 func (s *Sites) submit(w *inflight.Webhook, submitHere func() (inflight.Answer, api.Micros)) (answer inflight.Answer,
 	retryAfter api.Micros) {
 	if w.List == "" {
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -10,8 +10,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// parkedBySender lists the webhooks that are parked here for sites, in the order of acceptance: for all sites in one
-// iteration of the event loop, since each iteration scans all pending webhooks.
+// parkedBySender returns the webhooks that are parked at this member for each sender, in the order of acceptance. It
+// lists those of all sites at once, since each listing scans all pending webhooks in the event loop.
 func (s *Sites) parkedBySender(r *routes) map[*siteSender][]eventloop.Parked {
 	for _, sender := range r.senders {
 		sender.beginListing()
@@ -29,8 +29,8 @@
 	return bySender
 }
 
-// senderOf returns the sender that has a webhook or should have it, or nil. A webhook whose destination has moved to
-// another site gets its result from the relay that may have it.
+// senderOf returns the sender that is responsible for a webhook, or nil. If the webhook was sent to a relay, it is the
+// sender for that relay, even if the destination has moved to another site since: the result comes from that relay.
 func (s *Sites) senderOf(w *inflight.Webhook, r *routes) *siteSender {
 	if record, sent := s.sentLog.get(w.RequestID); sent {
 		i := slices.IndexFunc(r.senders, func(sender *siteSender) bool { return record.isFor(sender.site) })
@@ -41,7 +41,7 @@
 	return r.senderOf[w.Destination]
 }
 
-// newItem returns a webhook as the stream has it.
+// newItem returns the stream item for a webhook.
 func (s *siteSender) newItem(w eventloop.Parked) *stream.Item {
 	request, _, isAnnouncement := w.RequestID.Subscriber()
 	item := &stream.Item{
@@ -68,13 +68,13 @@
 	return item
 }
 
-// orderingScope is what webhooks are ordered within: a key of one destination.
+// orderingScope identifies the webhooks that must be delivered in order: those with the same key and destination.
 type orderingScope struct {
 	destination api.DestinationID
 	key         api.OrderingKey
 }
 
-// announcementPart has what the webhooks of an announcement must have in common to share an item.
+// announcementPart holds the values that webhooks of an announcement must have in common to share one stream item.
 type announcementPart struct {
 	id             stream.MessageID
 	ttl            api.Micros
@@ -93,14 +93,14 @@
 	}
 }
 
-// itemBatch collects the items to be added to the stream, with the subscribers of an announcement in one item.
+// itemBatch collects the items to add to the stream. Subscribers of the same announcement share items where possible.
 type itemBatch struct {
 	byPart map[announcementPart]*stream.Item
 	items  []*stream.Item // in the order of acceptance
 }
 
-// add adds an item for one subscriber, or adds the subscriber to an unordered item that has all else in common. It
-// returns the item that has the subscriber.
+// add adds an item for one subscriber. If the batch has an unordered item that differs only in its subscribers, it adds
+// the subscriber to that one instead. It returns the item that contains the subscriber.
 func (b *itemBatch) add(item *stream.Item) *stream.Item {
 	part := partOf(item)
 	if shared := b.byPart[part]; shared != nil && shared.Key == 0 {
@@ -112,8 +112,8 @@
 	return item
 }
 
-// feedStream adds the parked webhooks that are not in the stream yet. It adds none if it finds one that was sent and
-// that the stream does not know: the stream is restarted then.
+// feedStream adds the parked webhooks that are not in the stream yet. If one of them was already sent to the relay but
+// is unknown to the stream, it adds none and has the stream restarted.
 func (s *siteSender) feedStream(sender *relay.Sender, parked []eventloop.Parked) {
 	withheld := map[orderingScope]bool{}
 	batch := itemBatch{byPart: map[announcementPart]*stream.Item{}}
@@ -124,15 +124,15 @@
 		if s.isTracked(w.RequestID) {
 			continue
 		}
-		// Another member may own the range, and call the destination while the relay does.
-		isElsewhere := !wasSent && !s.sites.isRangeOwner(w.Destination)
-		// Another member may have an earlier webhook of the key.
+		// If another member owns the range, it may call the destination at the same time as the relay.
+		isOwnedElsewhere := !wasSent && !s.sites.isRangeOwner(w.Destination)
+		// Another member may still have an earlier webhook of the key.
 		isInDoubt := w.InDoubt && !wasSent
-		if isElsewhere || isInDoubt || withheld[scope] {
+		if isOwnedElsewhere || isInDoubt || withheld[scope] {
 			withheld[scope] = withheld[scope] || item.Key != 0
 			continue
 		}
-		if w.InDoubt { // sent in an earlier generation
+		if w.InDoubt { // it was sent in an earlier generation of the stream
 			s.needsRestart.Store(true)
 			return
 		}
--- a/cluster/site/metrics.go
+++ b/cluster/site/metrics.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// WriteMetrics writes the counters in the text format of Prometheus.
+// WriteMetrics writes the counters in the Prometheus text format.
 func (s *Sites) WriteMetrics(to io.Writer) {
 	for _, metric := range []struct {
 		name    string
--- a/cluster/site/record_journal.go
+++ b/cluster/site/record_journal.go
@@ -7,7 +7,7 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// recordJournal is a write-ahead log that numbers its records itself.
+// recordJournal is a write-ahead log that assigns consecutive ids to its records.
 type recordJournal struct {
 	*wal.Log
 	lastRecord api.WebhookID
@@ -29,8 +29,8 @@
 	return j, nil
 }
 
-// append stores records in one write and returns the id of the first; the others follow it. With an error none of
-// them is stored.
+// append stores records in one write and returns the id of the first; the ids of the others follow consecutively. If it
+// returns an error, no record is stored.
 func (j *recordJournal) append(records [][]byte) (first api.WebhookID, err error) {
 	first = j.lastRecord + 1
 	for _, record := range records {
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -16,25 +16,26 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// relayCapacityShare is the share of a dispatcher's buffer that its relay may use: the rest is for its clients.
+// relayCapacityShare is the share of a dispatcher's buffer that its relay may use. The rest is left to its own clients.
 const relayCapacityShare = 1.0 / 2
 
-// relayRecord is a record of the relay's journal: a checkpoint, or the state of a delivery. A delivery's record exists
-// from the write that brought it until its origin has its result, and so for longer than the record in the
-// dispatcher's own journal: what is only here has yet to be submitted.
+// relayRecord is a record of the relay's journal: a checkpoint or the state of a delivery. A delivery has a record from
+// the write of the frame that contained it until its origin has the result. The dispatcher's own journal has the
+// webhook for a shorter time, so a delivery without a result that is only in the relay's journal has yet to be
+// submitted.
 type relayRecord struct {
 	Checkpoint     *stream.Checkpoint `cbor:"1,keyasint,omitempty"`
 	Delivery       stream.Delivery    `cbor:"2,keyasint"`
 	RequestID      inflight.RequestID `cbor:"3,keyasint,omitempty"`
-	Webhook        []byte             `cbor:"4,keyasint,omitempty"` // as inflight.Webhook.Encode
+	Webhook        []byte             `cbor:"4,keyasint,omitempty"` // encoded by inflight.Webhook.Encode
 	Attempts       int                `cbor:"5,keyasint,omitempty"`
 	FirstAttemptAt api.Micros         `cbor:"6,keyasint,omitempty"`
 	Zone           api.ZoneID         `cbor:"7,keyasint,omitempty"`
 	Result         *stream.Result     `cbor:"8,keyasint,omitempty"`
 }
 
-// relayReceiver is the relay of a site: it stores what comes, submits it to the local dispatcher, and stores the
-// results. It implements relay.ReceiverStore.
+// relayReceiver is this member's relay: it stores the deliveries that it receives, submits them to the local
+// dispatcher, and stores the results. It implements relay.ReceiverStore.
 type relayReceiver struct {
 	localDispatcher
 	receiver *relay.Receiver
@@ -43,10 +44,10 @@
 	journal              *recordJournal
 	checkpointRecord     api.WebhookID // 0: none
 	recordIDs            map[stream.Delivery]api.WebhookID
-	pending              map[inflight.RequestID]*relayRecord // without a result
+	pending              map[inflight.RequestID]*relayRecord // deliveries without a stored result
 	pendingByDestination map[api.DestinationID]int
-	unsubmitted          []*relayRecord
-	finished             []finishedWebhook // not stored yet
+	unsubmitted          []*relayRecord    // to be submitted by run
+	finished             []finishedWebhook // results to be stored by run
 	wakeup               chan struct{}
 	closed               chan struct{}
 }
@@ -55,7 +56,7 @@
 type localDispatcher struct {
 	loop        *eventloop.Loop
 	inbox       *inflight.Inbox
-	capacity    func() int  // deliveries that may be pending at once
+	capacity    func() int  // maximum number of pending deliveries
 	isAccepting func() bool // whether this member accepts webhooks
 }
 
@@ -63,7 +64,7 @@
 
 var _ relay.ReceiverStore = (*relayReceiver)(nil)
 
-// openRelayReceiver opens the relay's journal and continues with what an earlier process left.
+// openRelayReceiver opens the relay's journal, recovers the deliveries of an earlier process and starts run.
 func openRelayReceiver(dir string, diskMB float64, dispatcher localDispatcher, messenger relay.Messenger,
 	timing relay.Timing) (*relayReceiver, error) {
 	journal, err := openJournal(dir, diskMB)
@@ -113,7 +114,8 @@
 	return r, nil
 }
 
-// readJournal returns the last checkpoint and the last record of each delivery, in the order of their first ones.
+// readJournal returns the last checkpoint and the last record of each delivery. The deliveries are in the order of
+// their first records.
 func (r *relayReceiver) readJournal() (checkpoint stream.Checkpoint, records []*relayRecord, err error) {
 	last := map[stream.Delivery]*relayRecord{}
 	var deliveries []stream.Delivery
@@ -122,7 +124,7 @@
 		if err := transport.Decode(e.Payload, &record); err != nil {
 			return stream.Checkpoint{}, nil, fmt.Errorf("relay: record %d: %w", e.ID, err)
 		}
-		// A record is removed only by the write after the one that replaced it.
+		// The removal of a replaced record is stored only by a later write, so the journal may still have both.
 		if record.Checkpoint != nil {
 			if r.checkpointRecord != 0 {
 				r.journal.Finish(r.checkpointRecord, nil)
@@ -151,8 +153,8 @@
 	return max(1, binary.LittleEndian.Uint64(random[:]))
 }
 
-// reconcileDispatcher finds out which of the pending webhooks the dispatcher has finished or still has; the others have
-// to be submitted.
+// reconcileDispatcher determines which of the pending webhooks the dispatcher has finished or still has. It queues the
+// others for submission.
 func (r *relayReceiver) reconcileDispatcher(pending []inflight.RequestID) {
 	finished, known := r.loop.NotifyInsteadOfPlatform(pending, r.recordFinished)
 	for id, result := range finished {
@@ -180,7 +182,7 @@
 	}
 }
 
-// notify wakes run up.
+// notify wakes up run.
 func (r *relayReceiver) notify() {
 	select {
 	case r.wakeup <- struct{}{}:
@@ -188,8 +190,8 @@
 	}
 }
 
-// write stores records in one write and returns the id of the first. With an error none is stored. The caller holds
-// the lock, or nobody else has the relayReceiver yet.
+// write stores records in one write and returns the id of the first. If it returns an error, no record is stored. The
+// caller holds mu, or is still constructing the relayReceiver.
 func (r *relayReceiver) write(records []*relayRecord) (first api.WebhookID, err error) {
 	encoded := make([][]byte, len(records))
 	for i, record := range records {
@@ -198,9 +200,9 @@
 	return r.journal.append(encoded)
 }
 
-// Persist stores what a frame brought, with the checkpoint.
+// Persist stores a checkpoint and the new items of a frame in one write.
 func (r *relayReceiver) Persist(c stream.Checkpoint, fresh []stream.Item) error {
-	if len(fresh) > 0 && !r.isAccepting() { // shutting down: the sender retains it
+	if len(fresh) > 0 && !r.isAccepting() { // this member is shutting down; the sender keeps the items
 		return errNotAccepting
 	}
 	records := []*relayRecord{{Checkpoint: &c}}
@@ -254,10 +256,11 @@
 	return r.pendingByDestination[d] > 0
 }
 
-// Capacity returns how many deliveries may be pending at once.
+// Capacity returns the maximum number of pending deliveries.
 func (r *relayReceiver) Capacity() int { return r.capacity() }
 
-// ForgetResults removes results that their origins have. One that stays in the journal is reported again.
+// ForgetResults removes results that their origins have acknowledged. If the removal isn't stored, the next process
+// reports the results again.
 func (r *relayReceiver) ForgetResults(acknowledged []stream.Delivery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -272,7 +275,8 @@
 	}
 }
 
-// close stops run. It does not close the Receiver, which reports results until the process ends.
+// close stops run and closes the journal. It does not close the relay.Receiver, which reports results until the process
+// ends.
 func (r *relayReceiver) close() error {
 	close(r.closed)
 	r.mu.Lock()
--- a/cluster/site/relay_submission.go
+++ b/cluster/site/relay_submission.go
@@ -10,13 +10,14 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// finishedWebhook is a result of the local dispatcher.
+// finishedWebhook is the result of a webhook that the local dispatcher has finished or rejected.
 type finishedWebhook struct {
-	id api.WebhookID // in the dispatcher's journal; 0: it was never there
+	id api.WebhookID // in the dispatcher's journal; 0: the journal never had it
 	inflight.Result
 }
 
-// recordFinished is called in an iteration of the event loop, once the dispatcher's journal has the result.
+// recordFinished queues a result for storage by run. The event loop calls it when the dispatcher's journal has the
+// result.
 func (r *relayReceiver) recordFinished(id api.WebhookID, result inflight.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,9 +25,9 @@
 	r.notify()
 }
 
-// run submits webhooks and stores results until close.
+// run submits webhooks and stores results until close is called.
 func (r *relayReceiver) run() {
-	retry := time.NewTicker((inflight.AnswerTimeout / 4).Duration()) // for what could not be stored or submitted
+	retry := time.NewTicker((inflight.AnswerTimeout / 4).Duration()) // retries what could not be stored or submitted
 	defer retry.Stop()
 	for {
 		select {
@@ -46,7 +47,7 @@
 	}
 }
 
-// submit submits webhooks to the local dispatcher.
+// submit submits the webhooks of the records to the local dispatcher.
 func (r *relayReceiver) submit(unsubmitted []*relayRecord) {
 	var webhooks []*inflight.Webhook
 	var records []*relayRecord
@@ -77,7 +78,7 @@
 func (r *relayReceiver) handleAnswer(record *relayRecord, answer inflight.Answer, retryAfter api.Micros) {
 	switch answer {
 	case inflight.Rejected:
-		if !r.isAccepting() { // shutting down: the next process submits it
+		if !r.isAccepting() { // this member is shutting down; the next process submits the webhook
 			return
 		}
 		r.recordFinished(0, inflight.Result{
@@ -85,14 +86,14 @@
 			Status:     inflight.StatusRejected,
 			RetryAfter: retryAfter,
 		})
-	case inflight.Duplicate: // this member has it from another source, and finishes that first
+	case inflight.Duplicate: // this member has the webhook from another source and finishes that one first
 		r.mu.Lock()
 		r.unsubmitted = append(r.unsubmitted, record)
 		r.mu.Unlock()
 	}
 }
 
-// storeResults stores results and has them reported to their origins.
+// storeResults stores results and passes them to the relay.Receiver, which reports them to their origins.
 func (r *relayReceiver) storeResults(finished []finishedWebhook) {
 	if len(finished) == 0 {
 		return
@@ -146,8 +147,9 @@
 	}
 }
 
-// DestinationStates returns what the relay's policy knows of the given destinations, and of all others with pending
-// deliveries: a wait that a destination asked for brings no result that would report it.
+// DestinationStates returns the policy's states of the given destinations and of all destinations with pending
+// deliveries. The latter are included because a delay that a destination requested produces no result that would inform
+// the origin.
 func (r *relayReceiver) DestinationStates(of []api.DestinationID) []api.DestinationState {
 	wanted := map[api.DestinationID]bool{}
 	for _, d := range of {
@@ -162,9 +164,9 @@
 	return states
 }
 
-// ApplyDestinationStates imports what the origin knows, except of destinations with pending deliveries: what is
-// known of those here is newer, and the policy does not expect to learn of an outage of a destination that it has
-// webhooks for.
+// ApplyDestinationStates imports the origin's states of destinations. It skips destinations with pending deliveries:
+// this member's state of those is newer, and the policy assumes that it has no webhooks for a destination whose outage
+// it imports.
 func (r *relayReceiver) ApplyDestinationStates(states []api.DestinationState) {
 	r.mu.Lock()
 	states = slices.DeleteFunc(states, func(s api.DestinationState) bool {
--- a/cluster/site/routes.go
+++ b/cluster/site/routes.go
@@ -7,16 +7,16 @@
 	"rowanlink/webhook/api"
 )
 
-// routes is what the operator file says about sites and lists. It is not changed once it is in use.
+// routes holds the sites and lists of an operator file. It is immutable once it is in use.
 type routes struct {
-	senders    []*siteSender // including those of former sites that may have deliveries in flight
+	senders    []*siteSender // including those of removed sites whose relays may still have deliveries
 	senderOf   map[api.DestinationID]*siteSender
 	lists      map[string][]api.DestinationID
-	servedHere map[api.DestinationID]bool // this member is their relay
+	servedHere map[api.DestinationID]bool // the destinations whose relay is this member
 }
 
-// newRoutes returns the routes of an operator file; sites that are unchanged keep the sender that they have in
-// previous, which may be nil.
+// newRoutes returns the routes of an operator file. Unchanged sites keep the sender that they have in previous, which
+// may be nil.
 func (s *Sites) newRoutes(f config.File, previous *routes) *routes {
 	r := &routes{
 		senderOf:   map[api.DestinationID]*siteSender{},
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// sendersInUse returns the senders of earlier routes that may have deliveries in flight.
+// sendersInUse returns the senders of the previous routes whose relays may still have deliveries.
 func (s *Sites) sendersInUse(previous *routes) (senders []*siteSender) {
 	if previous == nil {
 		return nil
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -15,8 +15,9 @@
 
 var _ relay.SenderStore = (*siteSender)(nil)
 
-// RecordSending records what is sent. If some of it was finished meanwhile, or is being attempted here, it returns an
-// error and has the stream restarted without it.
+// RecordSending records that the items are about to be sent. If one of their webhooks was finished meanwhile or is
+// being attempted by this member, it returns an error, so that nothing is sent, and has the stream restarted without
+// that webhook.
 func (s *siteSender) RecordSending(items []stream.Item, receiverIncarnation uint64, at api.Micros) error {
 	attempts := map[inflight.RequestID]int{}
 	var records, previous []sentRecord
@@ -41,16 +42,16 @@
 			})
 		}
 	}
-	// The records come first: a superfluous record only costs a request to the relay.
+	// The records are stored before the hand-over: a superfluous record only costs a request to the relay.
 	if err := s.sites.sentLog.add(records); err != nil {
 		return err
 	}
 	if !s.sites.loop.HandToRelay(attempts, at) {
-		// What was sent before may be at the relay, and must keep its record: otherwise nobody would ask for its
-		// result, and it would block later webhooks of its key until it expires.
+		// Webhooks that were sent before may be at the relay and must keep their records. Without a record nobody
+		// would ask the relay for the result, and the webhook would block later ones of its key until it expires.
 		s.sites.sentLog.remove(unsent...)
 		if len(previous) > 0 {
-			_ = s.sites.sentLog.add(previous) // else the later record stays: the relay is asked all the same
+			_ = s.sites.sentLog.add(previous) // after an error the new record stays, and the relay is asked as well
 		}
 		s.needsRestart.Store(true)
 		return errNotParked
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Requeue parks webhooks here again that the relay never received.
+// Requeue returns webhooks that the relay never received to the parked webhooks of this member.
 func (s *siteSender) Requeue(deliveries []stream.Delivery) {
 	if len(deliveries) > 0 {
 		s.takeBack(deliveries, true)
@@ -67,7 +68,7 @@
 	}
 }
 
-// takeBack takes webhooks back from the relay; neverReceived: the relay never had them.
+// takeBack returns webhooks from the relay to this member. neverReceived is set if the relay never received them.
 func (s *siteSender) takeBack(deliveries []stream.Delivery, neverReceived bool) {
 	taken := map[inflight.RequestID]eventloop.TakenBack{}
 	for _, d := range deliveries {
@@ -82,7 +83,8 @@
 	}
 }
 
-// Bypass leaves webhooks parked here: they are attempted as soon as this member may call the site's subscribers.
+// Bypass removes webhooks from the stream but leaves them parked at this member, which attempts them as soon as it may
+// call the site's subscribers directly.
 func (s *siteSender) Bypass(deliveries []stream.Delivery) {
 	s.untrack(deliveries)
 	s.mu.Lock()
@@ -91,10 +93,11 @@
 	s.sites.Bypassed.Add(int64(len(deliveries)))
 }
 
-// DropExpired forgets webhooks that the event loop itself finishes.
+// DropExpired stops tracking expired webhooks. The event loop finishes those itself.
 func (s *siteSender) DropExpired(expired []stream.Delivery) { s.untrack(expired) }
 
-// ResolveInDoubt decides about webhooks that an unreachable relay may have.
+// ResolveInDoubt decides what happens to webhooks that an unreachable relay may have, or, if lost is set, that a relay
+// may have run before it lost its folder. It returns the deliveries that are decided, which the stream then forgets.
 func (s *siteSender) ResolveInDoubt(inDoubt []stream.InDoubt, lost bool) (forget []stream.Delivery) {
 	resolutions := s.resolve(inDoubt, lost)
 	var retried []stream.Delivery
@@ -138,7 +141,7 @@
 			return s.resolveOne(d, true)
 		})
 		if len(inDoubt) > 0 {
-			s.needsRestart.Store(true) // all parked webhooks are queued again, so that they stay in order by key
+			s.needsRestart.Store(true) // the restart queues all parked webhooks again, which keeps the order within a key
 		}
 		return resolutions
 	}
@@ -146,7 +149,7 @@
 	gracePeriod := api.Micros(s.sites.timing.UnreachableTimeout.Microseconds())
 	for i, d := range inDoubt {
 		resolutions[i] = s.resolveOne(d, false)
-		// The relay's own call may just have begun.
+		// The relay may only just have begun to call the destination.
 		if resolutions[i] == stream.ResolveRetry && inflight.Now() < d.SentAt+gracePeriod {
 			resolutions[i] = stream.ResolveWait
 		}
@@ -168,8 +171,9 @@
 	}
 }
 
-// RecordResults finishes webhooks with the relay's results. Deliveries that the stream does not know may have been sent
-// by an earlier process.
+// RecordResults finishes webhooks with the relay's results. It returns the deliveries that are finished, including those
+// that were finished before, or nil if the results can't be stored. It also handles deliveries that the stream does not
+// know, since an earlier process may have sent them.
 func (s *siteSender) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
 	var pending map[stream.Delivery]inflight.RequestID // nil: not searched yet
 	var finished []inflight.Result
@@ -185,7 +189,7 @@
 			id = pending[result.Delivery]
 		}
 		if id == "" {
-			continue // it is finished already
+			continue // the webhook is finished already
 		}
 		finished = append(finished, s.newResult(id, result))
 	}
@@ -203,12 +207,12 @@
 	result := inflight.Result{RequestID: id, Status: inflight.Status(r.Outcome), RetryAfter: r.RetryAfter}
 	record, sent := s.sites.sentLog.get(id)
 	if sent && record.MayHaveRunBefore && result.Status == inflight.StatusRejected {
-		result.Status = inflight.StatusDeadLettered // it never ran at the relay, but may have run before
+		result.Status = inflight.StatusDeadLettered // the webhook took no effect at the relay, but may have before
 	}
 	return result
 }
 
-// findPending finds the request ids of deliveries among all pending webhooks.
+// findPending returns the request ids of the deliveries that belong to a pending webhook.
 func (s *siteSender) findPending(results []stream.Result) map[stream.Delivery]inflight.RequestID {
 	wanted := map[stream.Delivery]bool{}
 	for _, result := range results {
@@ -228,8 +232,8 @@
 	return found
 }
 
-// DestinationStates returns what this dispatcher learned of the site's subscribers while it called them itself: a wait
-// that a destination asked for holds at the relay, too.
+// DestinationStates returns this dispatcher's states of the site's subscribers if it calls them directly. The relay needs
+// them because a delay that a destination requested applies to the relay, too.
 func (s *siteSender) DestinationStates() []api.DestinationState {
 	if !s.direct.Load() {
 		return nil
@@ -238,9 +242,9 @@
 	return states
 }
 
-// ApplyDestinationStates imports what the relay knows, for when the relay becomes unreachable.
+// ApplyDestinationStates imports the relay's states of destinations. They are used when the relay becomes unreachable.
 func (s *siteSender) ApplyDestinationStates(states []api.DestinationState) {
-	if !s.direct.Load() { // else what is known here is newer
+	if !s.direct.Load() { // otherwise this member's own states are newer
 		s.sites.loop.ImportState(states)
 	}
 }
--- a/cluster/site/sent_log.go
+++ b/cluster/site/sent_log.go
@@ -11,16 +11,16 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// sentRecord says that a delivery may be at a relay. It is stored from before its first byte is sent until its result
-// is known, in a journal separate from that of webhooks.
+// sentRecord records that a delivery may be at a relay. It is stored before the first byte of the delivery is sent and
+// kept until the result is known, in a journal separate from that of webhooks.
 type sentRecord struct {
 	Site                cluster.SiteID     `cbor:"1,keyasint"`
 	RequestID           inflight.RequestID `cbor:"2,keyasint"`
-	ReceiverIncarnation uint64             `cbor:"3,keyasint"` // of the relay's folder
+	ReceiverIncarnation uint64             `cbor:"3,keyasint"` // identifies the relay's folder
 	SentAt              api.Micros         `cbor:"4,keyasint"` // when it was first sent
-	Epoch               cluster.Epoch      `cbor:"5,keyasint"` // of the lease by which it was sent
+	Epoch               cluster.Epoch      `cbor:"5,keyasint"` // of the lease under which it was sent
 	Relay               cluster.MemberID   `cbor:"7,keyasint"`
-	MayHaveRunBefore    bool               `cbor:"6,keyasint"` // here or at another origin
+	MayHaveRunBefore    bool               `cbor:"6,keyasint"` // at this or another origin, before it was sent
 }
 
 func (r sentRecord) isFor(s config.Site) bool { return r.Site == s.ID && r.Relay == s.Relay }
@@ -33,7 +33,7 @@
 	recordIDs map[inflight.RequestID]api.WebhookID // in the journal
 }
 
-// openSentLog reads what an earlier process recorded.
+// openSentLog opens the log and reads the records of an earlier process.
 func openSentLog(dir string, diskMB float64) (*sentLog, error) {
 	journal, err := openJournal(dir, diskMB)
 	if err != nil {
@@ -49,7 +49,7 @@
 		if err := transport.Decode(e.Payload, &r); err != nil {
 			return nil, fmt.Errorf("sent log: record %d: %w", e.ID, err)
 		}
-		if previous, known := l.recordIDs[r.RequestID]; known { // it was replaced, and not removed yet
+		if previous, known := l.recordIDs[r.RequestID]; known { // replaced by this record, but not removed yet
 			journal.Finish(previous, nil)
 		}
 		l.records[r.RequestID] = r
@@ -58,7 +58,7 @@
 	return l, nil
 }
 
-// add stores records in one write. With an error none of them is stored.
+// add stores records in one write. If it returns an error, no record is stored.
 func (l *sentLog) add(records []sentRecord) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// remove forgets records. That need not reach the disk at once: a superfluous record only costs a request to the relay.
+// remove removes records. It does not wait until the removal is on disk: a superfluous record only costs a request to
+// the relay.
 func (l *sentLog) remove(ids ...inflight.RequestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,6 +116,6 @@
 func (l *sentLog) close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.journal.Commit() // an error loses removals only; see remove
+	_ = l.journal.Commit() // an error only loses removals; see remove
 	return l.journal.Close()
 }
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -17,29 +17,31 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// siteSender is a site at a member that may be its sender. It implements relay.SenderStore.
+// siteSender sends a site's webhooks to its relay while this member holds the site's lease. Without the lease it only
+// asks the relay for the results of what it sent. Each member has a siteSender for each site, since any member may
+// become the site's sender. It implements relay.SenderStore.
 type siteSender struct {
 	sites    *Sites
 	site     config.Site
 	resource cluster.Resource
-	direct   atomic.Bool // the site's subscribers may be called from here
+	direct   atomic.Bool // this member may call the site's subscribers directly, without the relay
 
-	// closing: the operator file no longer has the site, or has another relay for it. What was sent gets its results
-	// from the relay that has it.
+	// closing is set if the operator file no longer has the site, or has another relay for it. The siteSender then only
+	// waits for the results of what was sent to its relay.
 	closing atomic.Bool
 
-	epoch        cluster.Epoch // owned by Sites.run
+	epoch        cluster.Epoch // of the running stream; accessed only by Sites.run
 	sender       atomic.Pointer[relay.Sender]
-	needsRestart atomic.Bool // the stream has to be restarted with what the journals have
+	needsRestart atomic.Bool // the stream must be restarted from the journals
 
 	mu         sync.Mutex
-	tracked    map[stream.Delivery]*trackedWebhook // in the stream: queued, or sent and without a result
+	tracked    map[stream.Delivery]*trackedWebhook // those in the stream: queued, or sent and without a result
 	deliveries map[inflight.RequestID]stream.Delivery
-	finished   map[inflight.RequestID]bool // since the parked webhooks were last listed
-	bypassed   []stream.Delivery           // yet to be reported to the stream as complete
+	finished   map[inflight.RequestID]bool // finished since the parked webhooks were last listed
+	bypassed   []stream.Delivery           // to be reported to the stream as complete
 }
 
-// trackedWebhook is a webhook that the stream has.
+// trackedWebhook is a webhook in the stream.
 type trackedWebhook struct {
 	id   inflight.RequestID
 	item *stream.Item
@@ -49,7 +51,8 @@
 	return &siteSender{sites: sites, site: site, resource: cluster.SiteSenderResource(site.ID)}
 }
 
-// messageID returns the id of a webhook or an announcement in the whole cluster: request ids are never reused.
+// messageID returns the cluster-wide id of a webhook or an announcement. It is derived from the request id, which is
+// never reused.
 func (s *siteSender) messageID(request string) stream.MessageID {
 	return stream.MessageID{
 		Origin:      s.sites.self,
@@ -63,7 +66,7 @@
 	return stream.Delivery{Message: s.messageID(string(request)), Destination: destination}
 }
 
-// reconcile starts, stops or feeds the stream as the lease, the shard map and the journals require.
+// reconcile starts, stops or feeds the stream according to the lease, the shard map and the journals.
 func (s *siteSender) reconcile(parked []eventloop.Parked) {
 	epoch, held := s.reconcileLease()
 	sent := s.sites.sentLog.forSite(s.site)
@@ -71,7 +74,7 @@
 	switch {
 	case held && (sender == nil || epoch != s.epoch || s.needsRestart.Load()):
 		s.startStream(epoch, sent, parked)
-	case !held && sender == nil && len(sent) > 0: // to ask for the results
+	case !held && sender == nil && len(sent) > 0: // asks the relay for the results
 		s.startStream(lastEpoch(epoch, sent), sent, parked)
 	case !held && sender != nil && len(sent) == 0:
 		s.stopStream()
@@ -96,8 +99,8 @@
 	return epoch
 }
 
-// hasWork reports whether the parked webhooks matter. Without it each member would list them, an iteration of its event
-// loop, although it sends to no site.
+// hasWork reports whether reconcile needs the parked webhooks. Listing them takes an iteration of the event loop, which
+// a member that sends to no site avoids.
 func (s *siteSender) hasWork() bool {
 	if s.site.Relay == s.sites.self {
 		return false
@@ -105,7 +108,7 @@
 	return s.sender.Load() != nil || s.sites.isSiteOwner(s.site.ID) || len(s.sites.sentLog.forSite(s.site)) > 0
 }
 
-// reconcileLease acquires the lease on sending to the site, or releases it, as this member owns the site or not.
+// reconcileLease acquires the lease on sending to the site if this member owns the site, and releases it otherwise.
 func (s *siteSender) reconcileLease() (epoch cluster.Epoch, held bool) {
 	if s.closing.Load() { // another siteSender may hold the lease
 		return 0, false
@@ -127,7 +130,7 @@
 	return 0, false
 }
 
-// setDirect sets whether the site's subscribers are called from here.
+// setDirect sets whether this member calls the site's subscribers directly.
 func (s *siteSender) setDirect(direct bool) {
 	if s.direct.Swap(direct) != direct {
 		slog.Info("site's subscribers are called directly", "site", s.site.ID, "directly", direct)
@@ -150,7 +153,8 @@
 	}
 }
 
-// startStream starts the stream with what the journals have: it first asks the relay about what was sent.
+// startStream starts a new generation of the stream from the journals. The stream first asks the relay about the
+// deliveries that were sent before.
 func (s *siteSender) startStream(epoch cluster.Epoch, sent []sentRecord, parked []eventloop.Parked) {
 	s.stopStream()
 	s.needsRestart.Store(false)
@@ -175,9 +179,9 @@
 	go sender.Run() // until stopStream
 }
 
-// restoreSent restores the parked webhooks that were sent, and removes the records of those that were finished since.
-// It returns how many it restored, and the destinations that no longer belong to the site: if the relay never received
-// a webhook for one of those, it takes the path that the destination has now.
+// restoreSent adds the parked webhooks that were sent before to the stream, and removes the records of those that were
+// finished since. It returns how many it added, and which of their destinations no longer belong to the site: if the
+// relay never received a webhook for such a destination, it is delivered by the destination's current route.
 func (s *siteSender) restoreSent(state *stream.Sender, sent []sentRecord,
 	parked []eventloop.Parked) (restored int, detached map[api.DestinationID]bool) {
 	records := map[inflight.RequestID]sentRecord{}
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -1,6 +1,6 @@
-// Package site connects a dispatcher to site streams: at a site's sender, webhooks for the site's subscribers are fed
-// into the stream; at its relay, what arrives is submitted to the local dispatcher; at any member, announcements are
-// accepted.
+// Package site connects a dispatcher to site streams. A site is a group of subscribers that are reached through one
+// relay. One member, the site's sender, feeds the webhooks for the site's subscribers into a stream to the relay. The
+// relay submits the webhooks that arrive to its local dispatcher. Any member accepts announcements.
 package site
 
 import (
@@ -22,7 +22,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// The folders below Options.StateDir.
+// The names of folders below Options.StateDir.
 const (
 	clusterDir = "fleet"
 	sentLogDir = "sent"
@@ -39,24 +39,24 @@
 	Holds(cluster.Resource) (cluster.Epoch, bool)
 }
 
-// Options has what a Sites needs of its member.
+// Options are the settings of a Sites and the parts of its member that it uses.
 type Options struct {
 	Self           cluster.MemberID
-	StateDir       string  // survives the process
+	StateDir       string  // must outlast the process
 	DiskMB         float64 // for the relay's journal
 	Inbox          *inflight.Inbox
 	Loop           *eventloop.Loop
 	Messenger      relay.Messenger
-	IsAccepting    func() bool // whether this member accepts webhooks at all
+	IsAccepting    func() bool // whether this member accepts webhooks; false while it shuts down
 	NotifyHandoff  func()      // called when webhooks can be forwarded to other members; does not block
 	EventType      func(api.EventTypeID) api.EventType
-	IsRangeOwner   func(api.DestinationID) bool // whether this member, and no other, owns the destination's range
+	IsRangeOwner   func(api.DestinationID) bool // whether only this member owns the destination's range
 	IsSiteOwner    func(cluster.SiteID) bool    // whether this member owns the range of the site's subscribers
-	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner: then whoever has a webhook attempts it
-	BufferCapacity func() int                   // webhooks that may be pending at once
+	IsOwnerUnknown func(cluster.SiteID) bool    // whether there may be no owner; then any member may call
+	BufferCapacity func() int                   // maximum number of pending webhooks
 }
 
-// Sites has all sites, as one member sees them. The counters are of deliveries, except Announcements.
+// Sites manages all sites at one member. The counters count deliveries, except Announcements.
 type Sites struct {
 	Sent, Requeued, Bypassed, InDoubt, Results, Announcements atomic.Int64
 
@@ -76,11 +76,11 @@
 	routes         atomic.Pointer[routes]
 	submitNext     func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
 
-	mu     sync.Mutex // held while the senders or the routes are changed
+	mu     sync.Mutex // held while senders or routes are changed
 	closed chan struct{}
 }
 
-// New returns the sites of an operator file; nothing runs yet.
+// New returns the Sites for an operator file. Start starts its goroutines.
 func New(o Options, f config.File) *Sites {
 	s := &Sites{
 		self:           o.Self,
@@ -99,14 +99,14 @@
 	return s
 }
 
-// RegisterHandlers adds the handlers to a server that does not serve yet.
+// RegisterHandlers adds the handlers to a server. It must be called before the server starts.
 func (s *Sites) RegisterHandlers(server *transport.Server) {
 	server.Handle(relay.OpenPath, s.relayHandler((*relay.Receiver).HandleOpen))
 	server.Handle(relay.FramePath, s.relayHandler((*relay.Receiver).HandleFrame))
 	server.Handle(relay.ResultsPath, s.handleResults)
 }
 
-// relayHandler returns a handler that responds 503 while this member is no relay.
+// relayHandler returns a handler that calls handle with this member's relay, or responds 503 if the member is no relay.
 func (s *Sites) relayHandler(handle func(*relay.Receiver, *fasthttp.RequestCtx)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if r := s.relay.Load(); r != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleResults handles the results that a relay reports. Results of what was sent by an earlier process, or to a relay
-// that no longer is one, count without a stream, too.
+// handleResults handles the results that a relay reports. It accepts them even if there is no stream to the relay: an
+// earlier process may have sent the deliveries, or the operator file may no longer have the relay.
 func (s *Sites) handleResults(ctx *fasthttp.RequestCtx) {
 	sender := &siteSender{sites: s}
 	for _, candidate := range s.routes.Load().senders {
@@ -139,15 +139,15 @@
 	ctx.SetBody(transport.Encode(sender.RecordResults(message.Results)))
 }
 
-// Install inserts the sites into the inbox's chain of handlers, before clients are admitted.
+// Install inserts s into the inbox's chain of handlers. It must be called before clients are admitted.
 func (s *Sites) Install() {
 	s.submitNext = s.options.Inbox.Forward
 	s.options.Inbox.Forward = s.submit
 	s.options.Inbox.HasList = func(name string) bool { return s.routes.Load().lists[name] != nil }
 }
 
-// Start reads the journals and starts the goroutines; end them by Close. Webhooks that were sent to a relay before are
-// known as such before anything else is done with them, so that none is delivered twice.
+// Start reads the journals and starts the goroutines, which Close ends. It first marks the webhooks that an earlier
+// process sent to a relay, so that none of them is delivered twice.
 func (s *Sites) Start(session Session) (err error) {
 	s.session = session
 	if s.sentLog, err = openSentLog(s.stateDir(sentLogDir), sentLogMB); err != nil {
@@ -169,7 +169,7 @@
 	return filepath.Join(s.options.StateDir, clusterDir, name)
 }
 
-// startRelay starts the relay if the operator file has this member as one and it does not run yet.
+// startRelay starts the relay if the operator file names this member as one and it does not run yet.
 func (s *Sites) startRelay() error {
 	isRelay := slices.ContainsFunc(s.routes.Load().senders, func(sender *siteSender) bool {
 		return sender.site.Relay == s.self
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// ApplyConfig continues with another operator file.
+// ApplyConfig replaces the operator file.
 func (s *Sites) ApplyConfig(f config.File) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,7 +243,7 @@
 
 func (s *Sites) senderFor(d api.DestinationID) *siteSender { return s.routes.Load().senderOf[d] }
 
-// Close stops run and closes the journals, with everything on disk as it is.
+// Close stops run and closes the journals. The records stay on disk.
 func (s *Sites) Close() {
 	close(s.closed)
 	if r := s.relay.Load(); r != nil {
@@ -252,6 +252,6 @@
 		}
 	}
 	if s.sentLog != nil {
-		_ = s.sentLog.close() // an error loses removals only; see sentLog.remove
+		_ = s.sentLog.close() // an error only loses removals; see sentLog.remove
 	}
 }
--- a/cluster/site/tracking.go
+++ b/cluster/site/tracking.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// track records that the stream has a webhook.
+// track records that a webhook is in the stream.
 func (s *siteSender) track(item *stream.Item, w eventloop.Parked) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,7 +15,7 @@
 	s.deliveries[w.RequestID] = d
 }
 
-// isTracked reports whether the stream has a webhook, or it was finished since the parked webhooks were listed.
+// isTracked reports whether a webhook is in the stream or was finished since the parked webhooks were last listed.
 func (s *siteSender) isTracked(id inflight.RequestID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,7 +23,7 @@
 	return tracked || s.finished[id]
 }
 
-// lookup returns a webhook that the stream has, or nil.
+// lookup returns the webhook of a delivery that is in the stream, or nil.
 func (s *siteSender) lookup(d stream.Delivery) *trackedWebhook {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,14 +41,15 @@
 	}
 }
 
-// beginListing is called before the parked webhooks are listed.
+// beginListing is called before the parked webhooks are listed. It resets what markFinished has recorded.
 func (s *siteSender) beginListing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = map[inflight.RequestID]bool{}
 }
 
-// markFinished keeps finished webhooks from being added to the stream again by a list from before.
+// markFinished records finished webhooks, so that feedStream does not add them to the stream again from an earlier list
+// of the parked webhooks.
 func (s *siteSender) markFinished(results []inflight.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
