--- a/cluster/encoded_forms_test.go
+++ b/cluster/encoded_forms_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards the stored and transmitted forms against changes by a renamed Go field.
+// TestEncodedForms fails if a renamed Go field changes the stored and transmitted form of a type.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR, Command{})
 }
--- a/cluster/site/farside_test.go
+++ b/cluster/site/bench_peer_test.go
@@ -21,21 +21,23 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// farSideEnv has the test program run as the far side of a benchmark: destinations, and relays whose deliveries
-// finish at once. The costs there, and in a site's own network, are left out. Its value is the origin's address.
-const farSideEnv = "ROWAN_BENCH_OTHER"
+// peerProcessEnv is an environment variable with the origin's address. If it is set, the test program runs as the peer
+// process of the benchmark: the destinations, and the relays, whose deliveries finish at once. So the benchmark leaves
+// out the costs at the relays and in the sites' own networks.
+const peerProcessEnv = "ROWAN_BENCH_OTHER"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(farSideEnv) != "" {
-		runFarSide()
+	if os.Getenv(peerProcessEnv) != "" {
+		runPeerProcess()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// counts counts the requests and bytes of the far side.
+// counts counts the requests and bytes of the peer process.
 type counts struct{ calls, bytes atomic.Int64 }
 
+// countingListener counts the bytes of its connections.
 type countingListener struct {
 	net.Listener
 	counts *counts
@@ -66,11 +68,11 @@
 // instantStore is a relay.ReceiverStore whose deliveries finish when they arrive.
 type instantStore struct{ receiver *relay.Receiver }
 
-func (a *instantStore) Persist(_ stream.Checkpoint, fresh []stream.Item) error {
+func (s *instantStore) Persist(_ stream.Checkpoint, fresh []stream.Item) error {
 	go func() {
 		for _, i := range fresh {
 			for _, to := range i.Destinations {
-				a.receiver.RecordResult(stream.Result{
+				s.receiver.RecordResult(stream.Result{
 					Delivery: stream.Delivery{Message: i.ID, Destination: to},
 					Outcome:  stream.Delivered,
 				})
@@ -79,11 +81,11 @@
 	}()
 	return nil
 }
-func (a *instantStore) Capacity() int                   { return 2 * benchSubscribersPerSite }
-func (a *instantStore) ForgetResults([]stream.Delivery) {}
+func (s *instantStore) Capacity() int                   { return 2 * benchSubscribersPerSite }
+func (s *instantStore) ForgetResults([]stream.Delivery) {}
 
-func (a *instantStore) DestinationStates([]api.DestinationID) []api.DestinationState { return nil }
-func (a *instantStore) ApplyDestinationStates([]api.DestinationState)                {}
+func (s *instantStore) DestinationStates([]api.DestinationID) []api.DestinationState { return nil }
+func (s *instantStore) ApplyDestinationStates([]api.DestinationState)                {}
 
 func listenCounting(c *counts) net.Listener {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -93,7 +95,9 @@
 	return countingListener{Listener: listener, counts: c}
 }
 
-func runFarSide() {
+// runPeerProcess prints the address of the destinations and then those of the relays, and serves until its input is
+// closed.
+func runPeerProcess() {
 	c := &counts{}
 	destination := listenCounting(c)
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) {
@@ -107,7 +111,7 @@
 	addresses := []string{destination.Addr().String()}
 	for n := range benchSites {
 		self := cluster.MemberID(fmt.Sprint("r", n))
-		client := transport.NewClient(self, map[cluster.MemberID]string{"m": os.Getenv(farSideEnv)})
+		client := transport.NewClient(self, map[cluster.MemberID]string{"m": os.Getenv(peerProcessEnv)})
 		messenger := countingMessenger{Client: client, counts: c}
 		state := stream.NewReceiver(stream.Checkpoint{Incarnation: 9}, nil, nil)
 		store := &instantStore{}
@@ -126,17 +130,17 @@
 	_, _ = io.Copy(io.Discard, os.Stdin) // until the benchmark closes it
 }
 
-// countingMessenger counts the relays' requests.
+// countingMessenger counts the requests of the relays and their bytes.
 type countingMessenger struct {
 	*transport.Client
 	counts *counts
 }
 
-func (f countingMessenger) Call(
+func (m countingMessenger) Call(
 	to cluster.MemberID, path string, body []byte, timeout time.Duration,
 ) (response transport.Response, err error) {
-	response, err = f.Client.Call(to, path, body, timeout)
-	f.counts.calls.Add(1)
-	f.counts.bytes.Add(int64(len(body) + len(response.Body)))
+	response, err = m.Client.Call(to, path, body, timeout)
+	m.counts.calls.Add(1)
+	m.counts.bytes.Add(int64(len(body) + len(response.Body)))
 	return response, err
 }
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -27,18 +27,20 @@
 	"rowanlink/webhook/policy"
 )
 
-// The subscribers of the benchmark's announcement.
+// The number of sites and subscribers that the benchmark's announcement is sent to.
 const (
 	benchSites              = 40
 	benchSubscribersPerSite = 250
 )
 
+// stubSession holds every lease with epoch 1.
 type stubSession struct{}
 
 func (stubSession) Acquire(cluster.Resource)                     {}
 func (stubSession) Release(cluster.Resource)                     {}
 func (stubSession) Holds(cluster.Resource) (cluster.Epoch, bool) { return 1, true }
 
+// openAdmission lets this member call a destination whenever its site's stream allows it.
 type openAdmission struct{ sites *Sites }
 
 func (o openAdmission) MayCall(d api.DestinationID, _ bool) bool {
@@ -48,8 +50,9 @@
 func (openAdmission) IsInDoubt(inflight.RequestID) bool     { return false }
 func (o openAdmission) RateShare(api.DestinationID) float64 { return 1 }
 
-// BenchmarkAnnouncement sends one announcement to 10,000 subscribers at 40 sites, at the member that owns them all,
-// from its submission until the journal has all results. Calls and bytes are of its connections, CPU is its own.
+// BenchmarkAnnouncement measures one announcement to 10,000 subscribers at 40 sites, at the member that owns all of
+// them, from its submission until the journal has all results. It calls the subscribers directly, or sends streams to
+// the sites' relays. The calls and bytes are those of the member's connections, and the CPU time is that of its process.
 func BenchmarkAnnouncement(b *testing.B) {
 	for _, path := range []string{"direct", "streams"} {
 		b.Run(path, func(b *testing.B) { benchmarkAnnouncement(b, path == "streams") })
@@ -60,16 +63,16 @@
 	b.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(b.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(b, err)
-	far := exec.CommandContext(context.Background(), os.Args[0]) // ends when its input is closed
-	far.Env = append(os.Environ(), farSideEnv+"="+listener.Addr().String())
-	out, err := far.StdoutPipe()
+	peer := exec.CommandContext(context.Background(), os.Args[0]) // ends when its input is closed
+	peer.Env = append(os.Environ(), peerProcessEnv+"="+listener.Addr().String())
+	out, err := peer.StdoutPipe()
 	require.NoError(b, err)
-	in, err := far.StdinPipe()
+	in, err := peer.StdinPipe()
 	require.NoError(b, err)
-	require.NoError(b, far.Start())
+	require.NoError(b, peer.Start())
 	b.Cleanup(func() {
 		_ = in.Close()
-		_ = far.Wait()
+		_ = peer.Wait()
 	})
 	line := make([]byte, 4096)
 	n, err := out.Read(line)
@@ -138,7 +141,7 @@
 		life.Enter(lifecycle.Stopped)
 		_ = server.Close(time.Second)
 	})
-	time.Sleep(time.Second) // streams are open
+	time.Sleep(time.Second) // until the streams are open
 	callsBefore, bytesBefore := readCounts(b, addrs[0])
 	cpuBefore, n := cpuTime(), 0
 	for b.Loop() {
@@ -163,7 +166,7 @@
 	b.ReportMetric(float64(inbox.RejectedByCallback.Load()+inbox.DeadLettered.Load()), "undelivered")
 }
 
-// incompressibleBody is a kilobyte that can't be compressed well.
+// incompressibleBody returns about a kilobyte that does not compress well.
 func incompressibleBody() []byte {
 	b := &strings.Builder{}
 	for n := range 40 {
--- a/cluster/site/compatibility_test.go
+++ b/cluster/site/compatibility_test.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// copyFixture copies a folder that release 63a0b91 has written, and returns the copy's path.
+// copyFixture copies a folder that was written by release 63a0b91, and returns the path of the copy.
 func copyFixture(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -22,8 +22,8 @@
 	return dir
 }
 
-// TestCompatibility_SentLog reads the sender's log of release 63a0b91. That release had stored "request-b" twice, of
-// which the later record holds, and had removed the record of a third request.
+// TestCompatibility_SentLog reads a sent log that was written by release 63a0b91. It has two records of "request-b", of
+// which the later one is valid, and a removed record of a third request.
 func TestCompatibility_SentLog(t *testing.T) {
 	l, err := openSentLog(copyFixture(t, "sent"), 1)
 	require.NoError(t, err)
@@ -47,8 +47,8 @@
 	assert.ElementsMatch(t, []sentRecord{first, second}, l.forSite(config.Site{ID: "site-1", Relay: "relay-1"}))
 }
 
-// TestCompatibility_RelayJournal reads the relay's journal of release 63a0b91: two checkpoints, of which the later one
-// holds, a delivery without a result, and a result that its origin has not acknowledged.
+// TestCompatibility_RelayJournal reads a relay's journal that was written by release 63a0b91. It has two checkpoints,
+// of which the later one is valid, a delivery without a result, and a result that its origin has not acknowledged.
 func TestCompatibility_RelayJournal(t *testing.T) {
 	journal, err := openJournal(copyFixture(t, "relay"), 1)
 	require.NoError(t, err)
@@ -90,7 +90,7 @@
 			Destination: 5,
 		},
 		RequestID:      "request-a",
-		Webhook:        record.Webhook, // compared decoded
+		Webhook:        record.Webhook, // compared below in its decoded form
 		Attempts:       2,
 		FirstAttemptAt: 1_700_000_000 * api.Second,
 		Zone:           1,
@@ -105,6 +105,6 @@
 		Tenant:      3,
 		OrderingKey: 4,
 		Destination: 5,
-		Deadline:    4_102_444_800 * api.Second, // in the year 2100
+		Deadline:    4_102_444_800 * api.Second, // 2100-01-01
 	}, webhook)
 }
--- a/cluster/site/relay_receiver_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -21,8 +21,8 @@
 	"rowanlink/webhook/policy"
 )
 
-// testRelay is the member of a relay without the other members. Its destination has no endpoint, so that webhooks
-// only expire.
+// testRelay is a relay's member without any other members. Its destinations have no endpoints, so its webhooks expire
+// without an attempt.
 type testRelay struct {
 	*relayReceiver
 	dispatcherJournal *wal.Log
@@ -58,11 +58,11 @@
 	return &testRelay{relayReceiver: receiver, dispatcherJournal: journal, lifecycle: life}
 }
 
-// stop stops the member; its folder stays.
+// stop stops the member. Its folder remains.
 func (r *testRelay) stop() {
 	r.lifecycle.Enter(lifecycle.Stopped)
 	_ = r.close()
-	time.Sleep(20 * time.Millisecond) // its last iteration
+	time.Sleep(20 * time.Millisecond) // lets the event loop end
 	_ = r.dispatcherJournal.Close()
 }
 
@@ -98,15 +98,15 @@
 	return checkpoint, []stream.Item{item}
 }
 
-// A webhook must not be delivered twice: the record of a pending delivery outlasts the write of its result, and is
-// removed only by the next write.
+// A relay that restarts after it stored a result must not deliver the webhook again. The journal may then still have
+// the record of the pending delivery, since only the write after that of the result removes it.
 func TestRelayReceiver_StoredResultIsNotSubmittedAgain(t *testing.T) {
 	dir, ttl := t.TempDir(), api.Second/4
 	r := startTestRelay(t, dir, ttl)
 	require.NoError(t, r.Persist(newFrame(ttl)))
 	require.Eventually(t, func() bool { return len(r.storedResults()) == 2 }, 10*time.Second, time.Millisecond)
 	for _, e := range r.storedResults() {
-		assert.Equal(t, stream.Rejected, e.Outcome, "it never ran, and has expired")
+		assert.Equal(t, stream.Rejected, e.Outcome, "the webhook expired without an attempt")
 	}
 	r.stop()
 	r = startTestRelay(t, dir, ttl)
@@ -118,7 +118,7 @@
 func TestRelayReceiver_FrameSurvivesRestart(t *testing.T) {
 	dir, ttl := t.TempDir(), 90*api.Second
 	r := startTestRelay(t, dir, ttl)
-	close(r.closed) // nothing is submitted any more
+	close(r.closed) // stops run, so that nothing is submitted
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, r.Persist(newFrame(ttl)))
 	r.closed = make(chan struct{})
@@ -129,6 +129,6 @@
 	r = startTestRelay(t, dir, ttl)
 	defer r.stop()
 	assert.Len(t, r.loop.PendingIDs(), 2)
-	assert.Len(t, r.pending, 2, "once each")
+	assert.Len(t, r.pending, 2, "each delivery is pending once")
 	assert.True(t, r.hasPending(4))
 }
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// RecordResults finishes webhooks with the relay's results. It returns the deliveries that are finished, including those
-// that were finished before, or nil if the results can't be stored. It also handles deliveries that the stream does not
-// know, since an earlier process may have sent them.
+// RecordResults finishes webhooks with the relay's results. It returns the deliveries that are finished, including
+// those that were finished before, or nil if the results can't be stored. It also handles deliveries that the stream
+// does not know, since an earlier process may have sent them.
 func (s *siteSender) RecordResults(results []stream.Result) (recorded []stream.Delivery) {
 	var pending map[stream.Delivery]inflight.RequestID // nil: not searched yet
 	var finished []inflight.Result
@@ -232,8 +232,8 @@
 	return found
 }
 
-// DestinationStates returns this dispatcher's states of the site's subscribers if it calls them directly. The relay needs
-// them because a delay that a destination requested applies to the relay, too.
+// DestinationStates returns this dispatcher's states of the site's subscribers if it calls them directly. The relay
+// needs them because a delay that a destination requested applies to the relay, too.
 func (s *siteSender) DestinationStates() []api.DestinationState {
 	if !s.direct.Load() {
 		return nil
--- a/cluster/site/site_sender_test.go
+++ b/cluster/site/site_sender_test.go
@@ -18,13 +18,13 @@
 	"rowanlink/webhook/policy"
 )
 
-// closedAdmission is a member that may call no destination: all webhooks are parked.
+// closedAdmission lets this member call no destination, so that all webhooks are parked.
 type closedAdmission struct{ openAdmission }
 
 func (closedAdmission) MayCall(api.DestinationID, bool) bool { return false }
 
-// A webhook that may be at its relay keeps its record when it is in a further frame that is not sent, because another
-// webhook in the frame is no longer parked. Otherwise nobody would ask for its result.
+// A webhook that was sent to its relay is in a second frame, which is not sent because another webhook of that frame is
+// no longer parked. The first webhook must keep its sent record: otherwise nobody would ask the relay for its result.
 func TestSiteSender_KeepsSentRecordOfUnsentFrame(t *testing.T) {
 	journal, err := wal.Open(t.TempDir(), 1)
 	require.NoError(t, err)
--- a/webhook/simadapter/server_test.go
+++ b/webhook/simadapter/server_test.go
@@ -20,7 +20,7 @@
 
 func newPolicy(s api.Settings, h api.Host) api.Policy { return policy.New(s, h) }
 
-// encode returns values of the wire's types one after the other, in little-endian order.
+// encode returns the concatenated values of the wire's types in little-endian order.
 func encode(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -44,7 +44,7 @@
 	return append(encode(uint32(len(body)), uint64(1e9), uint32(7)), body...)
 }
 
-// testInstance is the instance that all events are for.
+// testInstance is the instance that the events are addressed to.
 const testInstance = uint16(3)
 
 func openRecord() []byte {
@@ -74,7 +74,7 @@
 func TestWebhookIsSentToItsEndpoint(t *testing.T) {
 	out, err := serve(t, append(batch(), batch(openRecord(), listRecord(), topologyRecord(), webhookRecord(42))...))
 	assert.NoError(t, err)
-	assert.Equal(t, encode(uint32(0), uint32(0), uint32(7)), out[:replyHeaderLen], "an empty batch has its reply")
+	assert.Equal(t, encode(uint32(0), uint32(0), uint32(7)), out[:replyHeaderLen], "an empty batch is answered")
 	assert.Contains(t, string(out), string(encode(byte(actionAttempt), uint32(18), uint16(3), uint32(42), uint32(77))))
 }
 
@@ -82,7 +82,7 @@
 	detach := record(eventDetach, uint16(3))
 	out, err := serve(t, batch(openRecord(), listRecord(), topologyRecord(), webhookRecord(42), detach, openRecord(), topologyRecord()))
 	assert.NoError(t, err)
-	assert.NotContains(t, string(out), string(encode(byte(actionAttempt), uint32(18))), "its earlier incarnation is forgotten")
+	assert.NotContains(t, string(out), string(encode(byte(actionAttempt), uint32(18))), "the killed instance's attempt is dropped")
 }
 
 func TestPanicBecomesTheLastAction(t *testing.T) {
@@ -95,7 +95,7 @@
 	assert.Contains(t, out.String(), "no idea")
 }
 
-// malformedInputs are inputs by a part of the error that they cause.
+// malformedInputs returns malformed inputs, each under a part of the error message that it causes.
 func malformedInputs() map[string][]byte {
 	truncated := encode(byte(eventWakeup), uint32(99), testInstance)
 	return map[string][]byte{
@@ -135,13 +135,13 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		out, err := serve(t, input)
 		if err == nil && len(input) > 0 {
-			assert.GreaterOrEqual(t, len(out), replyHeaderLen, "each batch has its reply")
+			assert.GreaterOrEqual(t, len(out), replyHeaderLen, "each batch is answered")
 		}
 		assert.NotContains(t, string(out), "goroutine ", "the policy panicked")
 	})
 }
 
-// reportRecorder records the reports that reach a policy.
+// reportRecorder is a policy that records the last load report.
 type reportRecorder struct {
 	api.Policy
 	headroom, limit float64
