--- a/cluster/site/admission.go
+++ b/cluster/site/admission.go
@@ -11,9 +11,9 @@
 func (s *Sites) MayCall(d api.DestinationID) (may, asRelay bool) {
 	current := s.routes.Load()
 	receiver := s.relay.Load()
-	sender := current.senderOf[d]
+	sender := current.senderByDestination[d]
 	switch {
-	case current.servedHere[d]:
+	case current.relayedHere[d]:
 		return receiver != nil, true
 	case receiver != nil && receiver.hasPending(d): // it has left the site, but earlier deliveries are finished here
 		return true, true
@@ -28,9 +28,9 @@
 func (s *Sites) RateShare(d api.DestinationID, ownerShare float64) float64 {
 	current := s.routes.Load()
 	receiver := s.relay.Load()
-	sender := current.senderOf[d]
+	sender := current.senderByDestination[d]
 	switch {
-	case receiver != nil && (current.servedHere[d] || receiver.hasPending(d)):
+	case receiver != nil && (current.relayedHere[d] || receiver.hasPending(d)):
 		if receiver.receiver.MayBeBypassed() {
 			return partitionedShare
 		}
--- a/cluster/site/bench_test.go
+++ b/cluster/site/bench_test.go
@@ -52,7 +52,7 @@
 
 // BenchmarkAnnouncement measures one announcement to 10,000 subscribers at 40 sites, at the member that owns all of
 // them, from its submission until the journal has all results. It calls the subscribers directly, or sends streams to
-// the sites' relays. The calls and bytes are those of the member's connections, and the CPU time is that of its process.
+// the sites' relays. The calls and bytes are those of the member's connections, the CPU time that of its process.
 func BenchmarkAnnouncement(b *testing.B) {
 	for _, path := range []string{"direct", "streams"} {
 		b.Run(path, func(b *testing.B) { benchmarkAnnouncement(b, path == "streams") })
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -17,28 +17,29 @@
 		sender.beginListing()
 	}
 	parked, _ := s.loop.ParkedWebhooks(func(w *inflight.Webhook) bool {
-		sender := s.senderOf(w, r)
+		sender := s.senderOfWebhook(w, r)
 		return sender != nil && sender.site.Relay != s.self
 	})
 	bySender := map[*siteSender][]eventloop.Parked{}
 	for _, w := range parked {
-		if sender := s.senderOf(w.Webhook, r); sender != nil {
+		if sender := s.senderOfWebhook(w.Webhook, r); sender != nil {
 			bySender[sender] = append(bySender[sender], w)
 		}
 	}
 	return bySender
 }
 
-// senderOf returns the sender that is responsible for a webhook, or nil. If the webhook was sent to a relay, it is the
-// sender for that relay, even if the destination has moved to another site since: the result comes from that relay.
-func (s *Sites) senderOf(w *inflight.Webhook, r *routes) *siteSender {
+// senderOfWebhook returns the sender that is responsible for a webhook, or nil. If the webhook was sent to a relay, it
+// is the sender for that relay, even if the destination has moved to another site since: the result comes from that
+// relay.
+func (s *Sites) senderOfWebhook(w *inflight.Webhook, r *routes) *siteSender {
 	if record, sent := s.sentLog.get(w.RequestID); sent {
 		i := slices.IndexFunc(r.senders, func(sender *siteSender) bool { return record.isFor(sender.site) })
 		if i >= 0 {
 			return r.senders[i]
 		}
 	}
-	return r.senderOf[w.Destination]
+	return r.senderByDestination[w.Destination]
 }
 
 // newItem returns the stream item for a webhook.
--- a/cluster/site/record_journal.go
+++ b/cluster/site/record_journal.go
@@ -7,7 +7,8 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// recordJournal is a write-ahead log that assigns consecutive ids to its records.
+// recordJournal is a write-ahead log that assigns consecutive ids to its records. The ids have the type
+// api.WebhookID because wal.Log identifies its entries by it; they do not identify webhooks.
 type recordJournal struct {
 	*wal.Log
 	lastRecord api.WebhookID
--- a/cluster/site/routes.go
+++ b/cluster/site/routes.go
@@ -9,19 +9,19 @@
 
 // routes holds the sites and lists of an operator file. It is immutable once it is in use.
 type routes struct {
-	senders    []*siteSender // including those of removed sites whose relays may still have deliveries
-	senderOf   map[api.DestinationID]*siteSender
-	lists      map[string][]api.DestinationID
-	servedHere map[api.DestinationID]bool // the destinations whose relay is this member
+	senders             []*siteSender // including those of removed sites whose relays may still have deliveries
+	senderByDestination map[api.DestinationID]*siteSender
+	lists               map[string][]api.DestinationID
+	relayedHere         map[api.DestinationID]bool // the destinations whose relay is this member
 }
 
 // newRoutes returns the routes of an operator file. Unchanged sites keep the sender that they have in previous, which
 // may be nil.
 func (s *Sites) newRoutes(f config.File, previous *routes) *routes {
 	r := &routes{
-		senderOf:   map[api.DestinationID]*siteSender{},
-		lists:      map[string][]api.DestinationID{},
-		servedHere: map[api.DestinationID]bool{},
+		senderByDestination: map[api.DestinationID]*siteSender{},
+		lists:               map[string][]api.DestinationID{},
+		relayedHere:         map[api.DestinationID]bool{},
 	}
 	for _, site := range f.Sites {
 		if len(site.Subscribers) == 0 {
@@ -35,8 +35,8 @@
 		}
 		r.senders = append(r.senders, sender)
 		for _, d := range site.Subscribers {
-			r.senderOf[d] = sender
-			r.servedHere[d] = site.Relay == s.self
+			r.senderByDestination[d] = sender
+			r.relayedHere[d] = site.Relay == s.self
 		}
 	}
 	for _, former := range s.sendersInUse(previous) {
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -96,10 +96,11 @@
 // DropExpired stops tracking expired webhooks. The event loop finishes those itself.
 func (s *siteSender) DropExpired(expired []stream.Delivery) { s.untrack(expired) }
 
-// ResolveInDoubt decides what happens to webhooks that an unreachable relay may have, or, if lost is set, that a relay
-// may have run before it lost its folder. It returns the deliveries that are decided, which the stream then forgets.
-func (s *siteSender) ResolveInDoubt(inDoubt []stream.InDoubt, lost bool) (forget []stream.Delivery) {
-	resolutions := s.resolve(inDoubt, lost)
+// ResolveInDoubt decides what happens to webhooks that an unreachable relay may have, or, if folderLost is set, that a
+// relay may have run before it lost its folder. It returns the deliveries that are decided, which the stream then
+// forgets.
+func (s *siteSender) ResolveInDoubt(inDoubt []stream.InDoubt, folderLost bool) (forget []stream.Delivery) {
+	resolutions := s.resolve(inDoubt, folderLost)
 	var retried []stream.Delivery
 	var deadLettered []inflight.Result
 	for i, d := range inDoubt {
@@ -129,14 +130,14 @@
 	if len(forget) > 0 {
 		s.untrack(forget)
 		slog.Warn("relay unreachable: in-doubt deliveries resolved", "site", s.site.ID, "retried", len(retried),
-			"dead_lettered", len(deadLettered), "waiting", len(inDoubt)-len(forget), "folder_lost", lost)
+			"dead_lettered", len(deadLettered), "waiting", len(inDoubt)-len(forget), "folder_lost", folderLost)
 		s.sites.InDoubt.Add(int64(len(forget)))
 	}
 	return forget
 }
 
-func (s *siteSender) resolve(inDoubt []stream.InDoubt, lost bool) []stream.Resolution {
-	if lost {
+func (s *siteSender) resolve(inDoubt []stream.InDoubt, folderLost bool) []stream.Resolution {
+	if folderLost {
 		resolutions := stream.ResolveLost(inDoubt, func(d stream.InDoubt) stream.Resolution {
 			return s.resolveOne(d, true)
 		})
@@ -157,12 +158,12 @@
 	return resolutions
 }
 
-func (s *siteSender) resolveOne(d stream.InDoubt, lost bool) stream.Resolution {
+func (s *siteSender) resolveOne(d stream.InDoubt, folderLost bool) stream.Resolution {
 	w := s.lookup(d.Delivery)
 	if w == nil {
 		return stream.ResolveDeadLetter
 	}
-	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), lost, w.item.TTL, inflight.Now())
+	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), folderLost, w.item.TTL, inflight.Now())
 }
 
 func (s *siteSender) removeSentRecords(results []inflight.Result) {
@@ -238,7 +239,7 @@
 	if !s.direct.Load() {
 		return nil
 	}
-	states, _ := s.sites.loop.ExportState(func(d api.DestinationID) bool { return s.sites.senderFor(d) == s })
+	states, _ := s.sites.loop.ExportState(func(d api.DestinationID) bool { return s.sites.senderOfDestination(d) == s })
 	return states
 }
 
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -99,9 +99,9 @@
 	return epoch
 }
 
-// hasWork reports whether reconcile needs the parked webhooks. Listing them takes an iteration of the event loop, which
-// a member that sends to no site avoids.
-func (s *siteSender) hasWork() bool {
+// needsParkedWebhooks reports whether reconcile needs the parked webhooks. Listing them takes an iteration of the event
+// loop, which a member that sends to no site avoids.
+func (s *siteSender) needsParkedWebhooks() bool {
 	if s.site.Relay == s.sites.self {
 		return false
 	}
@@ -197,7 +197,7 @@
 		item := s.newItem(w)
 		s.track(item, w)
 		state.RestoreSent(*item, r.ReceiverIncarnation, r.SentAt)
-		if s.sites.senderFor(w.Destination) != s {
+		if s.sites.senderOfDestination(w.Destination) != s {
 			detached[w.Destination] = true
 		}
 		delete(records, w.RequestID)
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -231,7 +231,7 @@
 	defer s.mu.Unlock()
 	r := s.routes.Load()
 	var parked map[*siteSender][]eventloop.Parked
-	if slices.ContainsFunc(r.senders, (*siteSender).hasWork) {
+	if slices.ContainsFunc(r.senders, (*siteSender).needsParkedWebhooks) {
 		parked = s.parkedBySender(r)
 	}
 	for _, sender := range r.senders {
@@ -241,7 +241,9 @@
 	}
 }
 
-func (s *Sites) senderFor(d api.DestinationID) *siteSender { return s.routes.Load().senderOf[d] }
+func (s *Sites) senderOfDestination(d api.DestinationID) *siteSender {
+	return s.routes.Load().senderByDestination[d]
+}
 
 // Close stops run and closes the journals. The records stay on disk.
 func (s *Sites) Close() {
--- a/webhook/api/attempt.go
+++ b/webhook/api/attempt.go
@@ -30,7 +30,7 @@
 	Endpoint EndpointID
 	Outcome  Outcome
 	Latency  Micros // from the start of the attempt
-	// Final is set if the result is the webhook's final answer, so that no further attempt is needed.
+	// Final is set if the webhook has its final answer with this result, so that it needs no further attempt.
 	Final bool
 	// RetryAfter is the delay that the destination requested before the next call; 0 if it requested none.
 	RetryAfter Micros
--- a/webhook/api/endpoint.go
+++ b/webhook/api/endpoint.go
@@ -17,7 +17,8 @@
 	Kind        DestinationKindID
 	Zone        ZoneID
 	Status      EndpointStatus
-	Rate        float64 // accepted by the destination from all dispatchers, in calls per second, if listed
+	// Rate is how many calls per second the destination accepts from all dispatchers together, if the list contains it.
+	Rate float64
 }
 
 // LoadReport is an endpoint's report on its own rate limit, sent with an answer. It is approximate and slightly out of
--- a/webhook/simadapter/protocol.go
+++ b/webhook/simadapter/protocol.go
@@ -59,7 +59,7 @@
 	microsPerMillisecond = 1000
 )
 
-// outcomes is indexed by the simulator's outcome codes.
+// outcomes is indexed by the simulator's outcome codes, which start at 0.
 var outcomes = [...]api.Outcome{
 	api.ErrorResponse,
 	api.Delivered,
@@ -71,7 +71,7 @@
 	api.NotSent,
 }
 
-// endpointStatuses is indexed by the simulator's endpoint states.
+// endpointStatuses is indexed by the simulator's codes for endpoint states, which start at 0.
 var endpointStatuses = [...]api.EndpointStatus{api.EndpointActive, api.EndpointRemoved, api.EndpointDraining}
 
 var errShort = errors.New("the record is shorter than its fields")
