--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -116,7 +116,7 @@
 // feedStream adds the parked webhooks that are not in the stream yet. If one of them was already sent to the relay but
 // is unknown to the stream, it adds none and has the stream restarted.
 func (s *siteSender) feedStream(sender *relay.Sender, parked []eventloop.Parked) {
-	withheld := map[orderingScope]bool{}
+	withheld := map[orderingScope]bool{} // an earlier webhook was withheld, which later ones must not overtake
 	batch := itemBatch{byPart: map[announcementPart]*stream.Item{}}
 	for _, w := range parked {
 		_, wasSent := s.sites.sentLog.get(w.RequestID)
@@ -127,9 +127,9 @@
 		}
 		// If another member owns the range, it may call the destination at the same time as the relay.
 		isOwnedElsewhere := !wasSent && !s.sites.isRangeOwner(w.Destination)
-		// Another member may still have an earlier webhook of the key.
-		isInDoubt := w.InDoubt && !wasSent
-		if isOwnedElsewhere || isInDoubt || withheld[scope] {
+		// Another member may have the webhook, or an earlier one of its key.
+		mayBeElsewhere := w.InDoubt && !wasSent
+		if isOwnedElsewhere || mayBeElsewhere || withheld[scope] {
 			withheld[scope] = withheld[scope] || item.Key != 0
 			continue
 		}
--- a/cluster/site/site_sender.go
+++ b/cluster/site/site_sender.go
@@ -35,10 +35,10 @@
 	needsRestart atomic.Bool // the stream must be restarted from the journals
 
 	mu         sync.Mutex
-	tracked    map[stream.Delivery]*trackedWebhook // those in the stream: queued, or sent and without a result
-	deliveries map[inflight.RequestID]stream.Delivery
-	finished   map[inflight.RequestID]bool // finished since the parked webhooks were last listed
-	bypassed   []stream.Delivery           // to be reported to the stream as complete
+	tracked    map[stream.Delivery]*trackedWebhook    // those in the stream: queued, or sent and without a result
+	deliveries map[inflight.RequestID]stream.Delivery // the keys of tracked
+	finished   map[inflight.RequestID]bool            // finished since the parked webhooks were last listed
+	bypassed   []stream.Delivery                      // to be reported to the stream as complete
 }
 
 // trackedWebhook is a webhook in the stream.
@@ -51,8 +51,8 @@
 	return &siteSender{sites: sites, site: site, resource: cluster.SiteSenderResource(site.ID)}
 }
 
-// messageID returns the cluster-wide id of a webhook or an announcement. It is derived from the request id, which is
-// never reused.
+// messageID returns the cluster-wide id of a webhook or an announcement. It consists of this member's name
+// and two hashes of the request id, which is never reused.
 func (s *siteSender) messageID(request string) stream.MessageID {
 	return stream.MessageID{
 		Origin:      s.sites.self,
--- a/cluster/site/sites.go
+++ b/cluster/site/sites.go
@@ -74,7 +74,8 @@
 	sentLog        *sentLog
 	relay          atomic.Pointer[relayReceiver] // nil: this member is no relay
 	routes         atomic.Pointer[routes]
-	submitNext     func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
+	// submitNext is the next handler in the inbox's chain.
+	submitNext func(*inflight.Webhook, func() (inflight.Answer, api.Micros)) (inflight.Answer, api.Micros)
 
 	mu     sync.Mutex // held while senders or routes are changed
 	closed chan struct{}
--- a/webhook/config/config.go
+++ b/webhook/config/config.go
@@ -17,7 +17,8 @@
 // other value the dispatchers request the lists, at different times.
 const registryPushed = "push"
 
-// weightSources are the allowed values of the setting weightSource. If it is empty, endpoint lists contain no rates.
+// weightSources are the allowed values of the setting weightSource. Endpoint lists contain rates only with
+// nominal and rough.
 var weightSources = []string{"", "silent", "nominal", "rough", "live"}
 
 // Catalog holds the names that endpoint lists and webhooks use. A name's position is its index in a list of
--- a/webhook/simadapter/protocol.go
+++ b/webhook/simadapter/protocol.go
@@ -49,8 +49,8 @@
 	replyHeaderLen  = 12
 	recordHeaderLen = 5 // code and length
 	entryLen        = 23
-	listNumbers     = 16 // how many endpoint lists can be stored: numbers 0 to 15
-	maxText         = 1 << 10
+	listNumbers     = 16      // how many endpoint lists can be stored: numbers 0 to 15
+	maxText         = 1 << 10 // longer texts of actions are cut off
 	bufferLen       = 1 << 20
 )
 
