--- a/cluster/raftnode/bootstrap.go
+++ b/cluster/raftnode/bootstrap.go
@@ -11,10 +11,10 @@
 	"rowanlink/cluster/transport"
 )
 
-// bootstrap creates the raft group if this is the first of the configured nodes and the folders of all are empty. It
-// returns false if the group exists elsewhere or this node is not configured: then the node requests to join. It requires
-// an answer from every node: otherwise one that lost its folder could create a second group while the others can't be
-// reached.
+// bootstrap creates the raft group if this is the first of the configured nodes and the folders of all are empty. Every
+// node must have confirmed that: otherwise a node that lost its folder could create a second group while the others can't
+// be reached. bootstrap returns false if the node has to join instead, because another node has a log or this node is not
+// configured. It returns true if it created the group or has to try again later.
 func (n *Node) bootstrap() bool {
 	members := n.configuredMembers()
 	if len(members) == 0 || !slices.Contains(members, n.self) {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// identifyAll requests the identity of all nodes. It returns the servers of a new group, or nil if a node did not answer
-// or is configured with other members, and whether a node has a log already.
+// identifyAll requests the identity of all other nodes. It returns the servers of a new group, or nil if a node did not
+// answer, answered for another member or is configured with other members. exists reports whether a node has a log.
 func (n *Node) identifyAll(members []cluster.MemberID) (servers []raft.Server, exists bool) {
 	servers = []raft.Server{voter(n.storage.id)}
 	for _, member := range members {
@@ -60,6 +60,7 @@
 	return servers, exists
 }
 
+// identify requests the identity of a member's node.
 func (n *Node) identify(member cluster.MemberID) (transport.NodeIdentity, error) {
 	var identity transport.NodeIdentity
 	request := transport.Encode(n.identity())
@@ -74,7 +75,7 @@
 	return raft.Server{Suffrage: raft.Voter, ID: id, Address: raft.ServerAddress(id)}
 }
 
-// isEmpty reports whether the node has no entry and no configuration.
+// isEmpty reports whether the node has neither a log entry nor a raft configuration.
 func (n *Node) isEmpty() bool {
 	return n.raft.LastIndex() == 0 && len(n.raft.GetConfiguration().Configuration().Servers) == 0
 }
@@ -89,7 +90,7 @@
 	ctx.SetBody(transport.Encode(n.identity()))
 }
 
-// requestJoin requests of the configured nodes, one after another, to add this one to the group, until the leader accepts.
+// requestJoin sends a join request to the configured nodes, one after another, until one accepts it: the leader.
 func (n *Node) requestJoin() {
 	request := transport.Encode(transport.JoinRequest{
 		Member:       n.self,
@@ -107,7 +108,7 @@
 	}
 }
 
-// handleJoin records a join request, which the leader handles in reconcileMembership.
+// handleJoin records a join request for the next reconcileMembership. A node that is not the leader redirects the request.
 func (n *Node) handleJoin(ctx *fasthttp.RequestCtx) {
 	var request transport.JoinRequest
 	if !decodeRequest(ctx, &request) {
--- a/cluster/raftnode/compatibility_test.go
+++ b/cluster/raftnode/compatibility_test.go
@@ -13,9 +13,9 @@
 	"rowanlink/cluster/lease"
 )
 
-// The fixture is the raft folder of a node that was alone in its cluster, of release 63a0b91. Its snapshot has a session
-// of m1 with leases on the range and the departure slot. The log after it opens a session of m2, which acquires the
-// lease on the other range, and releases the departure slot.
+// The fixture is the folder of a single-node cluster, written by release 63a0b91. In its snapshot, a session of m1 holds
+// the leases on firstRange and departureSlot. The log entries after the snapshot open a session of m2, acquire the lease
+// on secondRange for it, and release departureSlot.
 const (
 	fixtureServer      = raft.ServerID("m1/9bb680112c16e9f3")
 	fixtureLeaderEpoch = lease.LeaderEpoch(3)
@@ -42,7 +42,7 @@
 	return stateDir
 }
 
-// openFixture opens the storage of a copy, and a node without raft that entries can be applied to.
+// openFixture opens the storage of a copy, and returns it with a node whose raft is not started, to apply entries to.
 func openFixture(t *testing.T) (*storage, *Node) {
 	t.Helper()
 	stateDir := copyFixture(t)
@@ -54,8 +54,8 @@
 	return opened, newNode(config)
 }
 
-// TestCompatibility_SnapshotAndLog reads the snapshot and the log of release 63a0b91 by the node's storage, and applies
-// them to its state machine.
+// TestCompatibility_SnapshotAndLog checks that the current storage and state machine read the snapshot and the log of
+// release 63a0b91.
 func TestCompatibility_SnapshotAndLog(t *testing.T) {
 	opened, n := openFixture(t)
 	assert.Equal(t, fixtureServer, opened.id)
@@ -109,8 +109,8 @@
 	assert.NoError(t, n.haltCause())
 }
 
-// TestCompatibility_NodeContinuesFolder starts a node from the folder of release 63a0b91. It becomes leader by itself
-// and continues the epochs. The sessions may have expired by the time of the check.
+// TestCompatibility_NodeContinuesFolder starts a node from the folder of release 63a0b91. It elects itself and continues
+// the epochs. The sessions are not checked: they may have expired by then.
 func TestCompatibility_NodeContinuesFolder(t *testing.T) {
 	n := startLeader(t, copyFixture(t))
 	t.Cleanup(func() { require.NoError(t, n.Close()) })
--- a/cluster/raftnode/contact_transport.go
+++ b/cluster/raftnode/contact_transport.go
@@ -9,20 +9,20 @@
 	"rowanlink/webhook/api"
 )
 
-// contactTransport is raft's transport, which also records when each server followed this leader last. The heartbeats
-// that raft sends several times in each election time-out are enough for lease.QuorumContact; a renewal sends nothing
-// more.
+// contactTransport is raft's transport, which also records when each server last acknowledged this leader. raft sends
+// heartbeats several times in each election time-out, so these records let renewals be confirmed (lease.QuorumContact)
+// without further messages.
 //
 // It differs from raft's own transport in two ways, both because of faults of raft v1.7.3 that docs/cluster.md
 // describes: see SetHeartbeatHandler and boundCommitIndex.
 type contactTransport struct {
 	*raft.NetworkTransport
 	clock     func() api.Micros
-	contacted chan struct{} // receives after each recorded contact; holds one
+	contacted chan struct{} // signals a recorded contact; buffered, so that contacts in a row give one signal
 
 	mu          sync.Mutex
 	term        uint64                       // raft term of lastContact
-	lastContact map[raft.ServerID]api.Micros // when the last request that was answered was sent
+	lastContact map[raft.ServerID]api.Micros // when the last acknowledged request was sent
 }
 
 func newContactTransport(t *raft.NetworkTransport, clock func() api.Micros) *contactTransport {
@@ -34,12 +34,14 @@
 	}
 }
 
-// SetHeartbeatHandler ignores the handler, so that heartbeats are handled by raft's main loop like all other requests.
-// In the handler, a leader that was stopped would adopt the later term of a heartbeat concurrently with the main loop,
-// which would then write the leader's own last entries under that term, and take them for the new leader's.
+// SetHeartbeatHandler ignores the handler, so that raft's main loop handles heartbeats like all other requests. The
+// handler would run concurrently with the main loop. If the process of a leader was suspended and a new leader was
+// elected, the handler would adopt the new term from a heartbeat while the main loop still appends the old leader's
+// entries. These would get the new term, and the node would take them for the new leader's entries.
 func (t *contactTransport) SetHeartbeatHandler(func(raft.RPC)) {}
 
-// AppendEntries sends a request and records when it was sent, if the response is of the same raft term.
+// AppendEntries sends a request. If the response is of the same raft term, it records the time the request was sent as a
+// contact.
 func (t *contactTransport) AppendEntries(
 	id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse,
 ) error {
@@ -51,7 +53,8 @@
 	return err
 }
 
-// AppendEntriesPipeline returns a pipeline for requests that are sent before earlier ones are answered. It records no contact.
+// AppendEntriesPipeline returns a pipeline, which sends requests before earlier ones are answered. Requests in a pipeline
+// are not recorded as contacts.
 func (t *contactTransport) AppendEntriesPipeline(
 	id raft.ServerID, target raft.ServerAddress,
 ) (raft.AppendPipeline, error) {
@@ -72,9 +75,9 @@
 	return p.AppendPipeline.AppendEntries(boundCommitIndex(request), response)
 }
 
-// boundCommitIndex limits a request's commit index to the last entry that the request brings or has compared with the
-// follower's log (Raft paper, figure 2, AppendEntries step 5). raft's follower would commit what it has behind that
-// entry, which may be entries of a former leader.
+// boundCommitIndex limits a request's commit index to the last entry that the request contains or that its consistency
+// check covers (Raft paper, figure 2, AppendEntries step 5). raft's follower does not limit it: it would also commit the
+// entries after that one in its log, which may be uncommitted entries of a former leader.
 func boundCommitIndex(request *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
 	lastVerified := request.PrevLogEntry + uint64(len(request.Entries))
 	if request.LeaderCommitIndex <= lastVerified {
@@ -85,6 +88,7 @@
 	return &bounded
 }
 
+// recordContact records that a server acknowledged a request of a term. A later term discards earlier terms' contacts.
 func (t *contactTransport) recordContact(id raft.ServerID, term uint64, sentAt api.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,8 +106,8 @@
 	}
 }
 
-// quorumContact returns the contacts of the servers that vote now, in one raft term as leader. Contacts of a later term
-// of this node do not count: another node may have led in between.
+// quorumContact returns the contacts that this node had as leader of a raft term with the other current voters. If
+// contacts of a later term were recorded, it returns none: another node may have led between the two terms.
 func (t *contactTransport) quorumContact(
 	term uint64, servers []raft.Server, self raft.ServerID,
 ) *lease.QuorumContact {
--- a/cluster/raftnode/contact_transport_test.go
+++ b/cluster/raftnode/contact_transport_test.go
@@ -11,8 +11,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Two nodes must not take different entries for the same one: heartbeats are handled by raft's main loop, and no request
-// has entries committed that it has not verified.
+// Guards against two nodes committing different entries at one index: heartbeats must be handled by raft's main loop, and
+// no request may make a follower commit entries that its consistency check does not cover.
 func TestContactTransport_HandlesHeartbeatsInMainLoopAndBoundsCommitIndex(t *testing.T) {
 	caller, called := newTestTransport(t, "a/1"), newTestTransport(t, "b/1")
 	caller.streams.setAddresses(map[cluster.MemberID]string{"b": called.streams.listener.Addr().String()})
@@ -88,7 +88,7 @@
 	return testTransport{contact, streams}
 }
 
-// A contact counts if it was in this very term, with a server that votes, and not with the node itself.
+// Only contacts in the requested term with a voter other than the node itself count.
 func TestContactTransport_QuorumContactCountsVotersOfTheTerm(t *testing.T) {
 	contact := newContactTransport(nil, clock)
 	servers := []raft.Server{voter("a/1"), voter("b/1"), voter("c/1"), {ID: "d/1", Suffrage: raft.Nonvoter}}
--- a/cluster/raftnode/encoded_forms_test.go
+++ b/cluster/raftnode/encoded_forms_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards the header that is stored with the command in each entry of the raft log.
+// TestEncodedForms checks that the encoding of the header stored with each raft log entry does not change.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		entryHeader{},
--- a/cluster/raftnode/handlers.go
+++ b/cluster/raftnode/handlers.go
@@ -14,9 +14,9 @@
 	"rowanlink/webhook/api"
 )
 
-// RegisterHandlers has the node answer the members' requests. The statuses are 200 with a response, which may hold an
-// error code; 421 if another node leads; 503 if the request was not executed and may be repeated; 504 if that is not
-// known.
+// RegisterHandlers registers the handlers of the members' requests. The status of a response is 200 if the body is the
+// response message, which may hold an error code; 421 if this node does not lead; 503 if the command was not executed and
+// may be repeated; 504 if it is unknown whether the command was or will be executed.
 func (n *Node) RegisterHandlers(server *transport.Server) {
 	server.Handle(transport.SessionPath, n.handleSession)
 	server.Handle(transport.ProposePath, n.handlePropose)
@@ -28,7 +28,7 @@
 // maxCommandSize bounds a command, in bytes.
 const maxCommandSize = 4 << 20
 
-// decodeRequest decodes a request's body. If it can't, it answers with status 400 and returns false.
+// decodeRequest decodes a request's body into v. On an error it answers with status 400 and returns false.
 func decodeRequest(ctx *fasthttp.RequestCtx, v any) bool {
 	err := transport.Decode(ctx.Request.Body(), v)
 	if err != nil {
@@ -37,19 +37,19 @@
 	return err == nil
 }
 
-// redirectToLeader answers that this node does not lead, and which one does if that is known.
+// redirectToLeader answers with status 421 and the leader, if this node knows it.
 func (n *Node) redirectToLeader(ctx *fasthttp.RequestCtx) {
 	n.Redirects.Add(1)
 	leader, _ := n.Leader()
 	if leader == n.self {
-		leader = "" // raft's leader, but it has not set the sessions' deadlines yet
+		leader = "" // this node is raft's leader, but can't answer requests before it has set the session deadlines
 	}
 	ctx.SetStatusCode(fasthttp.StatusMisdirectedRequest)
 	ctx.SetBody(transport.Encode(transport.NotLeaderResponse{Leader: leader}))
 }
 
 func (n *Node) handleSession(ctx *fasthttp.RequestCtx) {
-	receivedAt := n.clock() + 1 // a heartbeat that was sent in this microsecond was sent before
+	receivedAt := n.clock() + 1 // a heartbeat that was sent in this microsecond may have been sent before the request came
 	var request transport.SessionRequest
 	if !decodeRequest(ctx, &request) {
 		return
@@ -61,7 +61,8 @@
 	n.renewSession(ctx, request, receivedAt)
 }
 
-// renewSession renews a session if a quorum still follows this leader at or after the time the request was received.
+// renewSession has runLeadership renew a session, which waits until a quorum has acknowledged heartbeats that this leader
+// sent at receivedAt or later. It proves that no other node led when the request came.
 func (n *Node) renewSession(ctx *fasthttp.RequestCtx, request transport.SessionRequest, receivedAt api.Micros) {
 	results := make(chan renewalResult, 1)
 	r := renewal{
@@ -105,7 +106,7 @@
 	}
 	response := transport.SessionResponse{TTL: n.sessionTTL, ErrorCode: fsm.ErrorCode(applied.err)}
 	if applied.err == nil {
-		if !applied.sessionLive { // its expiry is being proposed: the next request opens another one
+		if !applied.sessionLive { // it is the member's earlier session, which is being ended; the next request opens another
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
@@ -140,7 +141,8 @@
 }
 
 // proposeCommand proposes a command to the log and waits until it is applied. It returns the result and the entry's
-// index. If the command was not applied, or may not have been, it answers the request and returns false.
+// index. If the command was not applied, or its outcome is unknown, it answers the request with the status for that and
+// returns false.
 func (n *Node) proposeCommand(
 	ctx *fasthttp.RequestCtx, command cluster.Command,
 ) (applied applyResult, index uint64, ok bool) {
@@ -161,6 +163,7 @@
 	return applied, future.Index(), true
 }
 
+// respondToFailedProposal answers a request whose command raft has not reported as applied.
 func (n *Node) respondToFailedProposal(ctx *fasthttp.RequestCtx, err error) {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -13,16 +13,17 @@
 	"rowanlink/webhook/api"
 )
 
-// renewal is a request to renew a session. It waits until a quorum is known to have followed this leader at or after
-// receivedAt.
+// renewal is a request to renew a session. It is answered once a quorum has acknowledged this leader's heartbeats that
+// were sent at receivedAt or later.
 type renewal struct {
 	session     cluster.SessionID
-	grantDigest lease.Digest // of the grants that the member knows of
+	grantDigest lease.Digest // of the grants that the member believes it holds
 	receivedAt  api.Micros
 	result      chan<- renewalResult
 }
 
-// renewalResult is the answer to a renewal. grants are all that the session holds, if the member does not know them.
+// renewalResult is the answer to a renewal. grants are all grants of the session, and set only if the renewal's digest
+// differs from theirs.
 type renewalResult struct {
 	outcome renewalOutcome
 	grants  []lease.Grant
@@ -33,20 +34,20 @@
 const (
 	renewalAccepted renewalOutcome = iota
 	renewalSessionEnded
-	renewalNotLeader // this node does not lead, or does not know whether it does
+	renewalNotLeader // this node does not lead, or closes
 )
 
-// leadership identifies a time as leader: by raft's term, and by the epoch in the lease table.
+// leadership identifies a period in which this node is the leader, by its raft term and its epoch in the lease table.
 type leadership struct {
 	term  uint64
 	epoch lease.LeaderEpoch
 }
 
-// timerSlack is added to the timer of runLeadership, so that a deadline is over when it fires.
+// timerSlack is added to the timer of runLeadership, so that the deadline has passed when the timer fires.
 const timerSlack = time.Millisecond / 2
 
-// runLeadership is the loop that gains and loses the leadership, answers renewals and expires sessions, until the node
-// closes.
+// runLeadership is the goroutine that handles raft's leadership changes, answers renewals and expires sessions, until the
+// node closes.
 func (n *Node) runLeadership() {
 	defer n.background.Done()
 	var waiting []renewal
@@ -80,8 +81,8 @@
 	}
 }
 
-// beginLeadership proposes the begin of a leader epoch. Once that entry is applied, so are all that were committed before
-// it.
+// beginLeadership proposes an entry that begins a leader epoch, and sends the leadership to begun once the entry is
+// applied. This node has then also applied all entries that earlier leaders committed.
 func (n *Node) beginLeadership(begun chan<- leadership) {
 	term := n.raft.CurrentTerm()
 	future := n.raft.ApplyLog(newLogEntry(lease.BeginLeaderEpoch()), 0)
@@ -98,8 +99,8 @@
 	}
 }
 
-// assumeLeadership sets each session's deadline and has the node answer requests as leader, unless the leadership ended
-// meanwhile, or ended and began again.
+// assumeLeadership sets the deadline of each session and lets the node answer requests as leader. It does nothing if the
+// node has lost the leadership since beginLeadership, even if it was elected again in a later term.
 func (n *Node) assumeLeadership(l leadership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,6 +120,7 @@
 		"sessions", len(sessions), "log", n.raft.LastIndex())
 }
 
+// resignLeadership makes the node stop answering requests as leader, and clears the session deadlines.
 func (n *Node) resignLeadership() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,8 +134,8 @@
 	n.isLeader.Store(0)
 }
 
-// answerRenewals answers those renewals for which a quorum is known to have followed since they were received, and
-// returns the others.
+// answerRenewals answers the renewals for which a quorum has acknowledged heartbeats that were sent at or after the time
+// the renewal was received, and returns the others. If the node does not lead, it answers all with renewalNotLeader.
 func (n *Node) answerRenewals(waiting []renewal) []renewal {
 	if len(waiting) == 0 {
 		return nil
@@ -176,7 +178,7 @@
 	}
 }
 
-// expireSessions proposes the end of the sessions whose deadline is over.
+// expireSessions proposes the end of the sessions whose deadlines have passed.
 func (n *Node) expireSessions() {
 	n.mu.Lock()
 	var expired []lease.ExpiredSession
@@ -185,11 +187,12 @@
 	}
 	n.mu.Unlock()
 	if len(expired) > 0 {
-		go n.proposeExpiries(expired) // so that renewals don't wait for the disk
+		go n.proposeExpiries(expired) // in the background: renewals must not wait for the log's write to disk
 	}
 }
 
-// proposeExpiries proposes the end of sessions. If it is rejected as stale, the leader begins a new leader epoch.
+// proposeExpiries proposes the end of sessions. If an entry is rejected because the lease table has a later leader epoch,
+// it has runLeadership begin a new one.
 func (n *Node) proposeExpiries(expired []lease.ExpiredSession) {
 	var futures []raft.ApplyFuture
 	for _, session := range expired {
@@ -207,8 +210,8 @@
 	}
 }
 
-// monitorLeader reports a quorum loss, once when no leader was known for QuorumLossTimeout and once when one is known
-// again. It returns when a leader was known last.
+// monitorLeader logs and counts a quorum loss when no leader has been known for timing.QuorumLossTimeout, and logs when a
+// leader is known again. It returns the last time at which a leader was known.
 func (n *Node) monitorLeader(leaderSeenAt api.Micros) api.Micros {
 	now := n.clock()
 	if _, id := n.raft.LeaderWithID(); id != "" {
@@ -225,7 +228,8 @@
 	return leaderSeenAt
 }
 
-// untilNextDeadline returns for how long runLeadership has nothing to do.
+// untilNextDeadline returns how long runLeadership may wait for an event: until the next session deadline, and at most
+// timing.ReconfigureInterval, after which it checks for a leader again.
 func (n *Node) untilNextDeadline() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/cluster/raftnode/leadership_test.go
+++ b/cluster/raftnode/leadership_test.go
@@ -9,13 +9,14 @@
 	"rowanlink/cluster/lease"
 )
 
-// An expiry that was decided in one leader epoch and reaches the log in a later one is rejected.
+// An expiry that was decided in one leader epoch and applied in a later one is rejected; the leader then begins a new
+// leader epoch, in which the session expires.
 func TestNode_RejectsExpiryOfEarlierLeaderEpoch(t *testing.T) {
 	n := startLeader(t, t.TempDir())
 	defer func() { _ = n.Close() }()
 	opened, err := lease.DecodeResult(n.apply(t, newLogEntry(lease.OpenSession("a", 7))).response)
 	require.NoError(t, err)
-	// As if another node had begun to lead.
+	// This simulates that another node has become leader.
 	begun, err := lease.DecodeResult(n.apply(t, newLogEntry(lease.BeginLeaderEpoch())).response)
 	require.NoError(t, err)
 	expired := lease.ExpiredSession{Session: opened.Session, LeaderEpoch: begun.LeaderEpoch - 1}
--- a/cluster/raftnode/membership.go
+++ b/cluster/raftnode/membership.go
@@ -15,9 +15,9 @@
 // notInConfiguration is the suffrage of a server that is not in the raft configuration.
 const notInConfiguration raft.ServerSuffrage = -1
 
-// maintainMembership compares the raft configuration with the configured members at intervals, until the node closes.
-// The group is bootstrapped once; a node that is not in it requests to join; the leader adds and removes servers, one at
-// a time.
+// maintainMembership compares the raft configuration with the configured members every timing.ReconfigureInterval, until
+// the node closes. The leader adds and removes servers, one at a time. A node without a raft configuration bootstraps the
+// group or, if it exists, requests to join it. A node that is no voter or knows no leader requests to join as well.
 func (n *Node) maintainMembership() {
 	defer n.background.Done()
 	ticker := time.NewTicker(timing.ReconfigureInterval(n.sessionTTL).Duration())
@@ -43,18 +43,19 @@
 	}
 }
 
-// servers returns the raft configuration.
+// servers returns the servers in this node's raft configuration.
 func (n *Node) servers() []raft.Server {
 	return n.raft.GetConfiguration().Configuration().Servers
 }
 
+// configuredMembers returns the members that the operator has configured to run a raft node, sorted.
 func (n *Node) configuredMembers() []cluster.MemberID {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members
 }
 
-// requestTimeout is that of a request to another node.
+// requestTimeout returns the time-out of a request to another node.
 func (n *Node) requestTimeout() time.Duration {
 	return timing.RequestTimeout(n.sessionTTL).Duration()
 }
@@ -69,9 +70,9 @@
 	return notInConfiguration
 }
 
-// reconcileMembership makes one change that brings the raft configuration closer to the configured members. A folder
-// that replaces a lost one is added as a learner first and gets the lost one's vote once it has caught up. A server that
-// is to leave is removed when all members have their vote.
+// reconcileMembership makes at most one change that brings the raft configuration closer to the configured members. It
+// handles the join requests first: see admitServer. A server whose member is no longer configured is removed when every
+// configured member has a voter.
 func (n *Node) reconcileMembership(servers []raft.Server) {
 	n.mu.Lock()
 	members, joinRequests := n.members, n.joinRequests
@@ -81,7 +82,7 @@
 	if !isLeader {
 		return
 	}
-	if !slices.Contains(members, n.self) { // new nodes know only those that stay, and send them their join requests
+	if !slices.Contains(members, n.self) { // joining nodes send their requests only to configured members, so one must lead
 		n.raft.LeadershipTransfer()
 		return
 	}
@@ -95,8 +96,9 @@
 	}
 }
 
-// admitServer handles a join request with one change of the configuration, or none if the server must catch up first. It
-// returns false if the server has its vote.
+// admitServer takes the next step to make a server a voter: it adds the server as a learner; once the learner has applied
+// an entry, it removes the server of the same member's lost folder, if there is one; then it promotes the learner. It
+// returns false if the server is a voter already, so that the caller may make another change.
 func (n *Node) admitServer(servers []raft.Server, request transport.JoinRequest) bool {
 	id, timeout := raft.ServerID(request.ServerID), n.sessionTTL.Duration()
 	switch current := suffrage(servers, id); {
@@ -107,7 +109,7 @@
 			n.ServersJoined.Add(1)
 		}
 		return true
-	case request.AppliedIndex == 0:
+	case request.AppliedIndex == 0: // the learner has not caught up
 		return true
 	}
 	lost := slices.IndexFunc(servers, func(s raft.Server) bool {
@@ -121,7 +123,7 @@
 	return true
 }
 
-// allVote reports whether each member has a server with a vote.
+// allVote reports whether each member has a voter.
 func allVote(servers []raft.Server, members []cluster.MemberID) bool {
 	for _, member := range members {
 		hasVote := slices.ContainsFunc(servers, func(s raft.Server) bool {
@@ -134,7 +136,7 @@
 	return true
 }
 
-// removeDepartedServer removes the first server that is not a member's.
+// removeDepartedServer removes the first server whose member is not configured.
 func (n *Node) removeDepartedServer(servers []raft.Server, members []cluster.MemberID) {
 	for _, s := range servers {
 		if !slices.Contains(members, memberOf(s.ID)) {
@@ -144,15 +146,15 @@
 	}
 }
 
-// removeServer removes a server from the configuration and logs that as event.
+// removeServer removes a server from the configuration and logs event.
 func (n *Node) removeServer(event string, id raft.ServerID) {
 	if n.awaitMembershipChange(event, id, n.raft.RemoveServer(id, 0, n.sessionTTL.Duration())) {
 		n.ServersRemoved.Add(1)
 	}
 }
 
-// awaitMembershipChange waits for a change of the configuration, logs it as event, or why it failed, and reports whether
-// it succeeded.
+// awaitMembershipChange waits for a change of the configuration and reports whether it succeeded. It logs event or, if the
+// change failed, the error.
 func (n *Node) awaitMembershipChange(event string, id raft.ServerID, change raft.IndexFuture) bool {
 	if err := change.Error(); err != nil {
 		slog.Warn("raft configuration change failed", "change", event, "server", id, "error", err)
@@ -162,7 +164,7 @@
 	return true
 }
 
-// Membership returns the members that are in the raft configuration of this node, and whether each has a vote.
+// Membership returns the members in this node's raft configuration; the value is true for a voter.
 func (n *Node) Membership() map[cluster.MemberID]bool {
 	hasVote := map[cluster.MemberID]bool{}
 	for _, s := range n.servers() {
@@ -171,5 +173,5 @@
 	return hasVote
 }
 
-// IsVoter reports whether the server of this very folder has a vote.
+// IsVoter reports whether this node's server is a voter. A server of the member's former, lost folder does not count.
 func (n *Node) IsVoter() bool { return suffrage(n.servers(), n.storage.id) == raft.Voter }
--- a/cluster/raftnode/membership_test.go
+++ b/cluster/raftnode/membership_test.go
@@ -36,7 +36,7 @@
 	requireMetrics("0", "0")
 
 	withSecond := maps.Clone(config.Addresses)
-	withSecond["m2"] = "127.0.0.1:1" // never reached: a learner counts for no majority
+	withSecond["m2"] = "127.0.0.1:1" // nothing listens there; a learner is not needed for a quorum
 	n.SetAddresses(withSecond)
 	n.mu.Lock()
 	n.joinRequests["m2"] = transport.JoinRequest{Member: "m2", ServerID: "m2/0123456789abcdef"}
--- a/cluster/raftnode/metrics.go
+++ b/cluster/raftnode/metrics.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Metrics count what a node did since its start.
+// Metrics holds a node's counters since its start.
 type Metrics struct {
 	LeadershipsGained atomic.Int64
 	LeadershipsLost   atomic.Int64
@@ -16,7 +16,7 @@
 	SessionsOpened   atomic.Int64
 	SessionsEnded    atomic.Int64
 	RenewalsAccepted atomic.Int64
-	RenewalsRejected atomic.Int64 // they came after the session had ended
+	RenewalsRejected atomic.Int64 // received after the session had ended
 
 	LeasesGranted  atomic.Int64
 	LeasesReleased atomic.Int64
@@ -25,7 +25,7 @@
 	ProposalsRejected       atomic.Int64
 	ProposalsOutcomeUnknown atomic.Int64
 
-	Redirects        atomic.Int64 // requests answered with who leads
+	Redirects        atomic.Int64 // requests answered with status 421, see redirectToLeader
 	ServersJoined    atomic.Int64 // added to the raft configuration, each as a learner first
 	ServersRemoved   atomic.Int64 // from the raft configuration
 	ComponentsServed atomic.Int64
@@ -66,8 +66,8 @@
 	}
 }
 
-// reportEvent counts and logs a change of the leases, at the leader only: all nodes apply the same changes. The caller
-// holds the lock.
+// reportEvent counts and logs a change of the lease table. It does so at the leader only, as every node applies the same
+// change. The caller holds the lock.
 func (n *Node) reportEvent(counter *atomic.Int64, message string, attrs ...any) {
 	if n.leaderTerm == 0 {
 		return
--- a/cluster/raftnode/node.go
+++ b/cluster/raftnode/node.go
@@ -1,7 +1,7 @@
 // Package raftnode runs one node of the raft group that replicates the cluster's leases, shard map and plans, over
 // github.com/hashicorp/raft. A node stores the log and snapshots, applies entries to the state machine of package fsm,
-// and answers the members' requests: sessions and their renewals, proposals, and polls for newer state. As leader it
-// also expires sessions and keeps the raft configuration at the configured members.
+// and answers the members' requests: opening and renewing sessions, proposing commands, and polling for newer state. The
+// leader also expires sessions, and adds and removes raft servers until they match the configured members.
 //
 // docs/cluster.md, "Leases", has the safety argument of renewals.
 package raftnode
@@ -28,13 +28,13 @@
 	"rowanlink/webhook/api"
 )
 
-// Config is what a node needs to start. Addresses are as this member reaches the others.
+// Config configures a node.
 type Config struct {
 	ClusterName  string
 	Self         cluster.MemberID
-	StateDir     string                      // LB_STATE: the node uses the folder fleet in it
-	SessionTTL   api.Micros                  // time-outs and intervals derive from it, see package timing
-	Addresses    map[cluster.MemberID]string // raft addresses of all nodes, this one included
+	StateDir     string                      // from LB_STATE; the node keeps its data in the subfolder fleet
+	SessionTTL   api.Micros                  // package timing derives all time-outs and intervals from it
+	Addresses    map[cluster.MemberID]string // host:port at which this member reaches each node; includes its own
 	Client       *transport.Client
 	Clock        func() api.Micros // monotonic
 	Leases       *lease.Table
@@ -55,19 +55,19 @@
 	leaderChanges   chan bool
 	renewals        chan renewal
 	closing         chan struct{}
-	staleLeadership chan struct{} // the lease table is at another leader epoch than this leader
+	staleLeadership chan struct{} // receives when the lease table has a later leader epoch than this leader
 	background      sync.WaitGroup
 
 	mu           sync.Mutex
 	leases       *lease.Table
 	machine      *fsm.Machine
 	deadlines    *lease.ExpiryTracker
-	leaderTerm   uint64             // raft term in which it leads, with all sessions' deadlines set; 0: it does not lead
-	haltErr      error              // why no entry is applied any more
-	restoreErr   error              // why a snapshot could not be restored
-	stateChanged chan struct{}      // closed when a component is newer
-	waiters      int                // on stateChanged
-	members      []cluster.MemberID // configured nodes, sorted
+	leaderTerm   uint64             // raft term in which the node serves as leader, with all deadlines set; 0: not leader
+	haltErr      error              // set when the node has stopped applying entries
+	restoreErr   error              // of the last snapshot that could not be restored
+	stateChanged chan struct{}      // closed and replaced when the state changes while requests wait for that
+	waiters      int                // requests that wait on stateChanged
+	members      []cluster.MemberID // members configured to run a raft node, sorted
 	joinRequests map[cluster.MemberID]transport.JoinRequest
 	history      map[cluster.ComponentID]*fsm.SnapshotHistory // by component
 }
@@ -79,8 +79,8 @@
 	stateFolder = "fleet"
 )
 
-// Open starts a node that accepts raft connections on a listener, which it closes in the end. An error is one line: a
-// folder that can't be read, or that a newer version of the program has written.
+// Open starts a node that accepts raft connections on a listener. The node closes the listener, also if Open fails. Open
+// fails if the folder can't be read or was written by a newer version of the program. The error text is one line.
 func Open(config Config, listener net.Listener) (*Node, error) {
 	n := newNode(config)
 	logger := newRaftLogger(config.SessionTTL.Duration())
@@ -167,10 +167,10 @@
 	return config
 }
 
-// SetAddresses replaces the raft addresses of all nodes, and with them the members of the group.
+// SetAddresses replaces the raft addresses of all nodes. Their keys are the new members of the raft group.
 func (n *Node) SetAddresses(addresses map[cluster.MemberID]string) {
 	n.setMembers(addresses)
-	n.transport.CloseStreams() // an address may have been another node's
+	n.transport.CloseStreams() // a pooled connection may lead to the former node at an address
 }
 
 func (n *Node) setMembers(addresses map[cluster.MemberID]string) {
@@ -180,27 +180,28 @@
 	n.members = slices.Sorted(maps.Keys(addresses))
 }
 
-// Close transfers the leadership if the node has it, writes a snapshot, and stops the node. It takes no longer than a
-// session TTL.
+// Close transfers the leadership if the node is the leader, writes a snapshot, and stops the node. Each of the three
+// steps may take a third of the session TTL, so that Close takes no longer than one TTL.
 func (n *Node) Close() error {
 	third := (n.sessionTTL / 3).Duration()
 	if n.raft.State() == raft.Leader {
-		runWithin(third, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs why not
+		runWithin(third, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs a failure
 	}
 	close(n.closing)
-	runWithin(third, func() { _ = n.raft.Snapshot().Error() }) // raft logs why not; the log has the entries
+	runWithin(third, func() { _ = n.raft.Snapshot().Error() }) // raft logs a failure; the entries are still in the log
 	shutdown := n.raft.Shutdown()
 	isDone := runWithin(third, func() {
-		_ = shutdown.Error() // it returns none
+		_ = shutdown.Error() // always nil
 		n.background.Wait()
 	})
 	if !isDone {
-		return fmt.Errorf("raft node %s: the log is still in use", n.self) // and stays open
+		return fmt.Errorf("raft node %s: the log is still in use", n.self) // the log can't be closed under raft
 	}
 	return errors.Join(n.transport.Close(), n.storage.log.Close())
 }
 
-// runWithin runs f in a goroutine and waits for it. It returns false when f takes longer than the time-out; f continues.
+// runWithin runs f in a goroutine and waits for it, up to the time-out. It returns false if f has not returned by then; f
+// then continues in the background.
 func runWithin(timeout time.Duration, f func()) bool {
 	done := make(chan struct{})
 	go func() {
@@ -215,8 +216,8 @@
 	}
 }
 
-// Leader returns the raft leader as far as it is known (else empty), and whether it is this node and it can answer
-// requests.
+// Leader returns the raft leader, or an empty id if this node knows none. isSelf reports whether this node is the leader
+// and ready to answer requests, with all session deadlines set.
 func (n *Node) Leader() (leader cluster.MemberID, isSelf bool) {
 	n.mu.Lock()
 	isSelf = n.leaderTerm != 0
--- a/cluster/raftnode/node_test.go
+++ b/cluster/raftnode/node_test.go
@@ -26,7 +26,7 @@
 const (
 	sessionTTL = api.Second
 
-	// waitTimeout is for what a test waits for, checkInterval how often it looks.
+	// waitTimeout is how long a test waits for a condition, checkInterval how often it checks the condition.
 	waitTimeout   = 20 * time.Second
 	checkInterval = time.Millisecond
 )
@@ -42,7 +42,7 @@
 	return listener
 }
 
-// singleNode returns the configuration of a node that is alone in its cluster, and its listener.
+// singleNode returns the configuration of the only node of a cluster, and its listener.
 func singleNode(t *testing.T, stateDir string) (Config, net.Listener) {
 	t.Helper()
 	listener := listen(t)
--- a/cluster/raftnode/raft_logger.go
+++ b/cluster/raftnode/raft_logger.go
@@ -12,10 +12,10 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// raftLogger writes raft's log messages to slog, one level lower: what raft calls an error is an outage that it repeats
-// for each failed request. Of each message one is written in an interval, with the number of those that were suppressed.
+// raftLogger writes raft's log messages to slog, one level lower, since raft logs an error for each failed request while
+// another node is down. It writes each message at most once per interval, with the number of those it suppressed since.
 type raftLogger struct {
-	hclog.Logger // discards what raft does not use
+	hclog.Logger // a null logger, for the methods that raft does not call
 	interval     time.Duration
 
 	mu     sync.Mutex
@@ -96,8 +96,8 @@
 	slog.Log(context.Background(), level, "raft message", attrs...)
 }
 
-// suppress reports whether a message was written less than an interval ago, and else how many were suppressed since it
-// was written last.
+// suppress reports whether to suppress a message because it was written less than an interval ago. If not, it returns how
+// many were suppressed since it was last written.
 func (l *raftLogger) suppress(message string) (suppressed int, isSuppressed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cluster/raftnode/stable_store_test.go
+++ b/cluster/raftnode/stable_store_test.go
@@ -15,7 +15,7 @@
 	failures int
 }
 
-// SetUint64 fails, or writes a number.
+// SetUint64 fails while failures remain, then writes the number.
 func (s *fullStore) SetUint64(key []byte, value uint64) error {
 	if s.failures > 0 {
 		s.failures--
@@ -24,7 +24,7 @@
 	return s.InmemStore.SetUint64(key, value)
 }
 
-// raft panics if its term can't be written, and the dispatcher is in the same process.
+// raft panics if its term can't be written, which would end the whole process. The store must retry instead.
 func TestRetryingStableStore_RetriesUntilThereIsSpace(t *testing.T) {
 	store := &fullStore{raft.NewInmemStore(), 3}
 	stable := retryingStableStore{store, time.Millisecond, nil}
--- a/cluster/raftnode/state_machine.go
+++ b/cluster/raftnode/state_machine.go
@@ -13,11 +13,11 @@
 	"rowanlink/cluster/transport"
 )
 
-// entryFormat is the version of the log entries. It rises when an older version of the program could not apply an entry.
-// Version 2 added destinations that are placed together.
+// entryFormat is the version of the log entries' format. It is raised by a change after which an older version of the
+// program could not apply the entries. Version 2 added placement groups: destinations that are placed together.
 const entryFormat = 2
 
-// entryHeader is stored with each entry, beside its command.
+// entryHeader is stored with each entry, in raft.Log.Extensions; the command is in raft.Log.Data.
 type entryHeader struct {
 	Format int `cbor:"1,keyasint"`
 }
@@ -27,24 +27,25 @@
 	return raft.Log{Data: fsm.EncodeCommand(command), Extensions: transport.Encode(entryHeader{entryFormat})}
 }
 
-// applyResult is the result of an entry, at the node that proposed it.
+// applyResult is what Apply returns for an entry. raft passes it on to the proposer, if that is on this node.
 type applyResult struct {
 	response    []byte
 	err         error
-	sessionLive bool // of OpOpenSession: the session has a deadline
+	sessionLive bool // after OpOpenSession: the session has not expired, so that it can be used
 }
 
-// resultOf returns the result of an entry that was applied. It panics on another type, which Apply never returns.
+// resultOf returns the result of an entry that was applied. The type assertion can't fail: Apply returns no other type.
 func resultOf(future raft.ApplyFuture) applyResult { return future.Response().(applyResult) }
 
-// stateMachine implements raft.FSM: the cluster's replicated state and, beside it, this node's session deadlines.
+// stateMachine implements raft.FSM. It applies entries to the replicated state, and updates the session deadlines, which
+// are local to the node.
 type stateMachine struct{ *Node }
 
 var _ raft.FSM = stateMachine{}
 
 var errNewerFormat = errors.New("the log has entries of a newer version of the program")
 
-// Apply applies one entry.
+// Apply applies one entry and returns an applyResult. An entry of a newer format halts the node.
 func (m stateMachine) Apply(entry *raft.Log) any {
 	n := m.Node
 	n.mu.Lock()
@@ -67,8 +68,8 @@
 	return result
 }
 
-// halt stops the node from applying entries and writing snapshots, so that a version of the program that can read the
-// entry continues from there. The caller holds the lock.
+// halt makes the node stop applying entries, writing snapshots and leading. The log then still has the entry that this
+// version of the program can't read, and a newer version that is started later applies it. The caller holds the lock.
 func (n *Node) halt(index uint64, format int) {
 	if n.haltErr != nil {
 		return
@@ -79,22 +80,24 @@
 		"index", index, "format", format, "supported", entryFormat)
 }
 
-// haltCause returns why the node has halted, or nil.
+// haltCause returns the error that halted the node, or nil.
 func (n *Node) haltCause() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.haltErr
 }
 
-// leaseOperation is an operation on the leases, with what it is about as it was before.
+// leaseOperation is an operation on the lease table, with the parts of the table's state before the operation that the
+// log messages about it need.
 type leaseOperation struct {
 	lease.Operation
-	member    cluster.MemberID                   // of the session
-	resources []cluster.Resource                 // held by a session that ends
-	epochs    map[cluster.Resource]cluster.Epoch // last epochs of resources to acquire
+	member    cluster.MemberID                   // owner of the session
+	resources []cluster.Resource                 // of an operation that ends a session: the leases it held
+	epochs    map[cluster.Resource]cluster.Epoch // of OpAcquire: the last epoch of each requested resource
 }
 
-// captureOperation decodes a command. For other components than the leases it returns the zero value.
+// captureOperation decodes a command to the lease table and records the state before it. It returns the zero value for a
+// command to another component and for one that can't be decoded.
 func (n *Node) captureOperation(raw []byte) leaseOperation {
 	var command cluster.Command
 	var operation leaseOperation
@@ -117,8 +120,8 @@
 	return operation
 }
 
-// trackLeases updates the session deadlines after an operation and reports the change. It returns whether a session that
-// was opened has a deadline.
+// trackLeases updates the session deadlines after an operation, and counts and logs the change. It returns true for
+// OpOpenSession if the session has not expired.
 func (n *Node) trackLeases(operation leaseOperation, response []byte) (sessionLive bool) {
 	result, err := lease.DecodeResult(response)
 	if operation.Kind == 0 || err != nil {
@@ -158,7 +161,7 @@
 	}
 }
 
-// Snapshot returns the complete state at this entry.
+// Snapshot returns the complete state after the last applied entry. A halted node writes no snapshot.
 func (m stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,7 +177,7 @@
 
 // Restore replaces the state by a snapshot.
 func (m stateMachine) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }() // it was read completely, or its error counts
+	defer func() { _ = from.Close() }() // an error of Close loses nothing: a failed read is returned below
 	raw, err := io.ReadAll(io.LimitReader(from, maxSnapshotSize))
 	if err != nil {
 		return err
@@ -201,5 +204,5 @@
 	return sink.Close()
 }
 
-// Release does nothing.
+// Release does nothing: the garbage collector frees the snapshot.
 func (s encodedSnapshot) Release() {}
--- a/cluster/raftnode/state_machine_test.go
+++ b/cluster/raftnode/state_machine_test.go
@@ -9,7 +9,8 @@
 	"rowanlink/cluster/transport"
 )
 
-// An entry of a newer version of the program is neither skipped nor covered by a snapshot.
+// A node that meets an entry of a newer format halts: it applies no later entry, writes no snapshot and does not lead. It
+// halts again after a restart, as the entry is still in its log.
 func TestStateMachine_NewerEntryFormatHaltsNode(t *testing.T) {
 	stateDir := t.TempDir()
 	n := startLeader(t, stateDir)
--- a/cluster/raftnode/state_reads.go
+++ b/cluster/raftnode/state_reads.go
@@ -14,8 +14,8 @@
 	"rowanlink/cluster/transport"
 )
 
-// handleState answers with the components that are newer than the requester's, and the wanted resources that are free.
-// If there are none it waits for a change first, up to the long-poll time-out.
+// handleState answers a poll with the components that are newer than the requester's versions, and with those of the
+// wanted resources that nobody holds. If there are neither, it waits for a change, up to timing.LongPollTimeout.
 func (n *Node) handleState(ctx *fasthttp.RequestCtx) {
 	var request transport.StateRequest
 	if !decodeRequest(ctx, &request) {
@@ -47,8 +47,8 @@
 	return len(response.Components)+len(response.FreeResources) == 0
 }
 
-// readNewerState reads at one point of the log what handleState answers with. If that is nothing, stateChanged is closed
-// at the next change.
+// readNewerState returns handleState's response, read under the lock, so that all its parts are of the same log index. If
+// the response is empty, stateChanged is closed at the next change.
 func (n *Node) readNewerState(
 	request transport.StateRequest,
 ) (response transport.StateResponse, stateChanged <-chan struct{}, err error) {
@@ -75,8 +75,8 @@
 	return response, n.stateChanged, nil
 }
 
-// readComponent returns a component's state if it is newer than the requester's version, as a delta if that is accepted
-// and known. The caller holds the lock.
+// readComponent returns a component's state if it is newer than the requester's version: as a delta if the requester
+// accepts one and the history reaches back to its version, else complete. The caller holds the lock.
 func (n *Node) readComponent(
 	component cluster.ComponentID, requesterVersion uint64, acceptDeltas bool,
 ) (part transport.ComponentState, isNewer bool, err error) {
@@ -89,8 +89,8 @@
 	if version < requesterVersion || isCurrent && !acceptDeltas || version == 0 {
 		return part, false, nil
 	}
-	// The newest snapshot is recorded even if the requester has it: otherwise all requesters would get a complete
-	// snapshot at the next change.
+	// The current snapshot is recorded in the history even if the requester has it already. The next delta is computed
+	// from it; without it all requesters would get a complete snapshot at the next change.
 	if history.NewestVersion() != version {
 		snapshot, err := n.machine.ComponentSnapshot(component)
 		if err != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// rejectHeldResources answers a command to acquire leases, without an entry in the log, if all of the resources are held
-// by other sessions. This avoids an entry for each attempt. A command is never accepted here.
+// rejectHeldResources returns the rejection of a command to acquire leases if other sessions hold all of its resources.
+// Such attempts, which members repeat, then need no log entry. All other commands have to be proposed to the log.
 func (n *Node) rejectHeldResources(command cluster.Command) (result []byte, isRejected bool) {
 	var operation lease.Operation
 	if command.Component != cluster.LeaseComponent || command.FencedBy != "" {
--- a/cluster/raftnode/storage.go
+++ b/cluster/raftnode/storage.go
@@ -18,20 +18,21 @@
 	"rowanlink/cluster"
 )
 
-// storage is a node's folder. It gets a random name when it is created, which is part of the raft server id: a node that
-// lost its folder is another server to the rest, which has none of the votes and entries that the lost one vouched for.
+// storage is a node's folder, with its log and snapshots. The folder gets a random name when it is created, and the raft
+// server id is MEMBER/NAME. A node that lost its folder comes back as a new server: under the old id it could vote a
+// second time in a term, and the others would count it as having entries that it had acknowledged and lost.
 type storage struct {
 	id        raft.ServerID
 	log       *raftboltdb.BoltStore
 	snapshots *raft.FileSnapshotStore
-	empty     bool // it never had an entry, a vote or a snapshot
+	empty     bool // when it was opened: no entry, no vote and no snapshot
 }
 
 const (
 	nameFile          = "keeper"
 	logFile           = "log.bolt"
 	snapshotsRetained = 2
-	logLockTimeout    = time.Second // to wait for a process that ends and still has the log open
+	logLockTimeout    = time.Second // how long to wait for an ending process that still has the log open
 
 	nameBytes  = 8
 	folderMode = 0o700
@@ -72,8 +73,8 @@
 	return err
 }
 
-// loadOrCreateName returns the folder's name, and gives it one if it is new. A log without a name is an error: under a
-// new name it would be a server that the others don't know, with entries that they have.
+// loadOrCreateName returns the folder's name, and creates one if the folder is new. A folder with a log but without a name
+// is an error: under a new name the node would be a new server to the others, but with the old server's entries.
 func loadOrCreateName(path string) (string, error) {
 	file := filepath.Join(path, nameFile)
 	raw, err := os.ReadFile(file)
@@ -99,7 +100,7 @@
 	return name, nil
 }
 
-// writeFileAtomically creates a file with a text, synced to disk, or leaves no file of that name.
+// writeFileAtomically writes a file and syncs it to disk. After a crash or an error the file is complete or absent.
 func writeFileAtomically(path, text string) error {
 	temporary := path + ".new"
 	if err := writeSynced(temporary, text); err != nil {
--- a/cluster/raftnode/stream_layer.go
+++ b/cluster/raftnode/stream_layer.go
@@ -18,21 +18,21 @@
 )
 
 // streamLayer implements raft.StreamLayer and raft.ServerAddressProvider over TCP. A server's raft address is its id,
-// MEMBER/FOLDER; each node looks up the member's network address in its own table. Each connection begins with a
-// greeting that names the cluster and both servers: otherwise a request to a folder that was lost could reach the one
-// that replaces it, which would vote again where the lost one had voted.
+// MEMBER/NAME (see storage); each node looks up the member's network address in its own table. Each connection begins with
+// a greeting that names the cluster and both servers. Without it, a request for a server that lost its folder could reach
+// the server that replaced it at the same address, which could then vote a second time in the same term.
 type streamLayer struct {
 	listener    net.Listener
 	clusterName string
 	self        raft.ServerID
-	timeout     time.Duration // for the greeting
+	timeout     time.Duration // to receive the greeting
 	accepted    chan net.Conn
 	closed      chan struct{}
 	closeOnce   sync.Once
 
 	mu               sync.Mutex
 	addresses        map[cluster.MemberID]string
-	loggedMismatches map[string]bool // rejected greetings that are in the log
+	loggedMismatches map[string]bool // rejected greetings that were logged, each once
 }
 
 const (
@@ -61,7 +61,7 @@
 	return s
 }
 
-// memberOf returns the member of a server id, or an empty id if there is none in it.
+// memberOf returns the member part of a server id, or an empty id if there is none.
 func memberOf(id raft.ServerID) cluster.MemberID {
 	s := string(id)
 	return cluster.MemberID(s[:max(strings.LastIndexByte(s, '/'), 0)])
@@ -111,7 +111,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(s.timeout / 10) // not a busy loop when the process is out of file descriptors
+			time.Sleep(s.timeout / 10) // avoids a busy loop when the process is out of file descriptors
 			continue
 		}
 		go s.checkGreeting(conn)
@@ -140,6 +140,7 @@
 	}
 }
 
+// rejectConn closes a connection, and logs it once for each combination of servers and cluster.
 func (s *streamLayer) rejectConn(conn net.Conn, from, to, clusterName string) {
 	_ = conn.Close()
 	s.mu.Lock()
@@ -153,7 +154,7 @@
 		"from", from, "to", to, "cluster", clusterName, "self", s.self)
 }
 
-// prefixedConn is a connection of which the first bytes were read with the greeting.
+// prefixedConn is a connection whose first bytes after the greeting were already read into a buffer, the prefix.
 type prefixedConn struct {
 	net.Conn
 	prefix []byte
--- a/cluster/raftnode/stream_layer_test.go
+++ b/cluster/raftnode/stream_layer_test.go
@@ -12,7 +12,7 @@
 	"rowanlink/cluster"
 )
 
-// A connection that is meant for a folder that was lost is not accepted by the one that replaces it.
+// A connection for a server that lost its folder is not accepted by the server that replaced it.
 func TestStreamLayer_AcceptsOnlyConnectionsForThisServer(t *testing.T) {
 	listener := listen(t)
 	called := newStreamLayer(listener, "f", "m1/new", time.Second)
