--- a/cluster/transport/client.go
+++ b/cluster/transport/client.go
@@ -16,24 +16,24 @@
 
 // The errors of Client.Call, which wraps them.
 var (
-	// ErrNotSent means that the request did not arrive completely, so that the other member did not act on it.
+	// ErrNotSent means that the request was not sent completely, so that the other member did not act on it.
 	ErrNotSent = errors.New("message not sent")
-	// ErrOutcomeUnknown means that there was no response and the request may have arrived.
+	// ErrOutcomeUnknown means that no valid response came, and the other member may have acted on the request.
 	ErrOutcomeUnknown = errors.New("no response: the message may have arrived")
 )
 
 const (
-	maxConnsPerPeer = 64               // a request that finds none free waits for one
-	maxIdleDuration = 10 * time.Second // the server's is longer, so that the client closes first
+	maxConnsPerPeer = 64               // while all are in use, further requests wait
+	maxIdleDuration = 10 * time.Second // shorter than the server's, so that the client closes an idle connection first
 
-	// maxConnWait is longer than any time-out: requests wait for a connection as long as they may.
+	// maxConnWait is longer than any request's time-out, so that only the request's own time-out ends its wait.
 	maxConnWait = time.Hour
-	// dialShare is the part of a request's time-out in which a connection must be made. If it isn't, there is time left
-	// to try another member.
-	dialShare = 3
+	// dialTimeoutDivisor makes the time-out for a connection a third of the request's. After a failed dial there is time
+	// left to try another member.
+	dialTimeoutDivisor = 3
 )
 
-// Client sends requests to other members. It never retries one. It is safe for concurrent use.
+// Client sends requests to other members, each request at most once. It is safe for concurrent use.
 type Client struct {
 	self cluster.MemberID
 
@@ -47,14 +47,14 @@
 	http    *fasthttp.HostClient
 }
 
-// NewClient returns a client of the member self. The addresses are as this member reaches the others.
+// NewClient returns a client for the member self. addresses has the host:port at which self reaches each other member.
 func NewClient(self cluster.MemberID, addresses map[cluster.MemberID]string) *Client {
 	c := &Client{self: self, peers: map[cluster.MemberID]*peer{}}
 	c.SetAddresses(addresses)
 	return c
 }
 
-// SetAddresses replaces the addresses. Requests that are in flight to a former address are still answered.
+// SetAddresses replaces the addresses. Requests in flight to a former address still get their responses.
 func (c *Client) SetAddresses(addresses map[cluster.MemberID]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,9 +92,9 @@
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// dialTracked makes a connection for a request with a time-out. fasthttp passes no context.
+// dialTracked dials a connection; timeout is that of the request. It uses no request context, as fasthttp passes none.
 func dialTracked(address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout / dialShare, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: timeout / dialTimeoutDivisor, KeepAlive: -1}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -107,11 +107,11 @@
 
 // Response is a member's response to a request.
 type Response struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Body   []byte
 }
 
-// Decode decodes the message of a response with status 200. Of any other it returns an error that wraps ErrStatus.
+// Decode decodes the body into message. For a status other than 200 it returns an error that wraps ErrStatus.
 func (r Response) Decode(message any) error {
 	if r.Status != fasthttp.StatusOK {
 		return fmt.Errorf("%w: status %d", ErrStatus, r.Status)
@@ -120,7 +120,7 @@
 }
 
 // Call sends a request to a member and returns its response, whatever the status. An error wraps ErrNotSent or
-// ErrOutcomeUnknown. A time-out that is not positive is an error.
+// ErrOutcomeUnknown. If the time-out is not positive, nothing is sent and the error wraps ErrNotSent.
 func (c *Client) Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (Response, error) {
 	c.mu.Lock()
 	p := c.peers[to]
@@ -147,7 +147,7 @@
 	return Response{Status: response.StatusCode(), Body: bytes.Clone(responseBody)}, nil
 }
 
-// fillRequest sets a request's method, URL, headers and body, compressed if that pays.
+// fillRequest sets a request's method, URL, headers and body. It compresses the body if that saves enough, see compress.
 func (c *Client) fillRequest(request *fasthttp.Request, url string, body []byte) {
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI(url)
@@ -159,8 +159,8 @@
 	request.SetBodyRaw(body)
 }
 
-// do sends a request. If the server closed an idle connection before the request was written to it, no byte of it was
-// sent, and another connection is used: this is not a retry.
+// do sends a request. If the pooled connection was closed by the server before a byte of the request was written, do uses
+// another connection. The request is still sent at most once.
 func (p *peer) do(request *fasthttp.Request, response *fasthttp.Response, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -171,8 +171,8 @@
 	}
 }
 
-// outcomeOf returns ErrNotSent if the request without a response was not written completely, or to no connection at all,
-// and else ErrOutcomeUnknown.
+// outcomeOf returns the error for a request that failed: ErrNotSent if it got no connection or was not written completely,
+// else ErrOutcomeUnknown.
 func outcomeOf(response *fasthttp.Response) error {
 	conn, hasConn := response.LocalAddr().(*trackedConn)
 	if !hasConn || conn.isIncomplete {
--- a/cluster/transport/client_test.go
+++ b/cluster/transport/client_test.go
@@ -30,7 +30,7 @@
 	s := NewServer(100, time.Second)
 	s.Handle("/x", handler)
 	go func() { _ = s.Serve(listener) }()          // it returns when the server is closed
-	t.Cleanup(func() { _ = s.Close(time.Second) }) // the test is over, also if it takes longer
+	t.Cleanup(func() { _ = s.Close(time.Second) }) // a time-out does not matter: the test is over
 	return listener.Addr().String()
 }
 
@@ -42,8 +42,7 @@
 	return client
 }
 
-// startRawServer accepts one connection after another, each handled by the next of the handlers, and returns its
-// address.
+// startRawServer starts a TCP server that accepts one connection for each handler, in order, and returns its address.
 func startRawServer(t *testing.T, handlers ...func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	listener := listen(t)
@@ -110,7 +109,7 @@
 	}
 }
 
-// The server reads nothing, so that the buffers fill and the last byte can't be written.
+// The server reads nothing, so that the socket buffers fill up and the request can't be written completely.
 func TestClient_IncompleteRequestIsNotSent(t *testing.T) {
 	random := make([]byte, MaxMessageSize)
 	_, _ = rand.Read(random)
@@ -121,7 +120,8 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// A request that is written to a connection that was closed while idle could not be told from one that arrived.
+// A request written to a pooled connection that the server has closed could not be told from one that arrived. The client
+// must notice the close before it writes, and use another connection.
 func TestClient_ConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
 	client := newTestClient(t, startRawServer(t, answerOnce, answerOnce))
 	for range 2 {
--- a/cluster/transport/compression.go
+++ b/cluster/transport/compression.go
@@ -7,11 +7,11 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// MaxMessageSize bounds a request and a response in bytes, also once decompressed.
+// MaxMessageSize limits the body of a request or response, in bytes, compressed and decompressed.
 const MaxMessageSize = 16 << 20
 
 const (
-	minCompressSize   = 4 << 10 // below it compression saves no packet
+	minCompressSize   = 4 << 10 // compressing a smaller body saves no packet
 	compressionHeader = "Packed"
 	compressionS2     = "s2"
 )
@@ -21,7 +21,7 @@
 	errUnknownCompression = errors.New("unknown compression")
 )
 
-// compress returns a compressed body, if that saves at least an eighth, and else false.
+// compress returns the compressed body and true if compression saves at least an eighth, else the body itself and false.
 func compress(body []byte) ([]byte, bool) {
 	if len(body) < minCompressSize {
 		return body, false
@@ -33,8 +33,8 @@
 	return compressed, true
 }
 
-// decompress decompresses a body by the value of compressionHeader. It checks the size that the body declares first, so
-// that it never allocates more than MaxMessageSize.
+// decompress decompresses a body as the value of its compressionHeader says. It checks the declared size first, so that it
+// never allocates more than MaxMessageSize.
 func decompress(body []byte, compression string) ([]byte, error) {
 	switch compression {
 	case "":
--- a/cluster/transport/encoded_forms_test.go
+++ b/cluster/transport/encoded_forms_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards the messages between members: no renamed Go field may change them.
+// TestEncodedForms checks that the encoding of the messages between members does not change, such as by a renamed field.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		SessionRequest{},
--- a/cluster/transport/encoding_test.go
+++ b/cluster/transport/encoding_test.go
@@ -8,7 +8,7 @@
 	"rowanlink/cluster"
 )
 
-// FuzzDecode: what can be decoded is the same when it is encoded and decoded again.
+// FuzzDecode checks that a decoded message survives another round of encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(cluster.Command{Component: cluster.LeaseComponent, FencedBy: "t", Epoch: 3, Body: []byte("x")}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/cluster/transport/messages.go
+++ b/cluster/transport/messages.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// The paths that raft nodes serve.
+// The paths that raft nodes serve, with the messages of request and response.
 const (
 	SessionPath  = "/fleet/session"     // SessionRequest, SessionResponse
 	ProposePath  = "/fleet/propose"     // cluster.Command, ProposeResponse
@@ -15,7 +15,8 @@
 	JoinPath     = "/fleet/keeper/join" // JoinRequest, no response
 )
 
-// SessionRequest renews a session or, with session 0, opens one. GrantDigest is of the grants that the member knows of.
+// SessionRequest renews a session or, with session 0, opens one. GrantDigest is the digest of the grants that the member
+// believes the session holds.
 type SessionRequest struct {
 	Member      cluster.MemberID  `cbor:"1,keyasint"`
 	Session     cluster.SessionID `cbor:"2,keyasint,omitempty"`
@@ -23,8 +24,9 @@
 	GrantDigest lease.Digest      `cbor:"4,keyasint,omitempty"`
 }
 
-// SessionResponse is the leader's answer to a SessionRequest. ErrorCode is as by fsm.ErrorCode, TTL the one that the
-// leader uses. Grants are all that the session holds by the log, if the request's digest is not theirs.
+// SessionResponse is the leader's answer to a SessionRequest. TTL is the leader's session TTL, ErrorCode a code of
+// fsm.ErrorCode. If the request's GrantDigest differs from that of the replicated lease table, Grants has all grants of
+// the session.
 type SessionResponse struct {
 	Session   cluster.SessionID `cbor:"1,keyasint,omitempty"`
 	TTL       api.Micros        `cbor:"2,keyasint"`
@@ -32,8 +34,7 @@
 	Grants    []lease.Grant     `cbor:"4,keyasint,omitempty"`
 }
 
-// ProposeResponse is the leader's answer to a cluster.Command: the component's result, or an error code as by
-// fsm.ErrorCode.
+// ProposeResponse is the leader's answer to a cluster.Command: the component's result, or an error code of fsm.ErrorCode.
 type ProposeResponse struct {
 	Result    []byte `cbor:"1,keyasint,omitempty"`
 	ErrorCode uint16 `cbor:"2,keyasint,omitempty"`
@@ -48,16 +49,16 @@
 	AcceptDeltas    bool                           `cbor:"3,keyasint,omitempty"`
 }
 
-// StateResponse is the answer to a StateRequest. AppliedIndex is the index of the last entry that was applied when the
-// state was read.
+// StateResponse is the answer to a StateRequest. AppliedIndex is the index of the last log entry that the raft node had
+// applied when it read the state.
 type StateResponse struct {
 	AppliedIndex  uint64             `cbor:"1,keyasint"`
 	Components    []ComponentState   `cbor:"2,keyasint,omitempty"`
 	FreeResources []cluster.Resource `cbor:"3,keyasint,omitempty"`
 }
 
-// ComponentState is the state of a component at a version. Data is a complete snapshot if BaseVersion is 0, and else a
-// delta from that version, see fsm.ApplyDelta.
+// ComponentState is the state of a component at a version. Data is a complete snapshot if BaseVersion is 0, else a delta
+// from BaseVersion, see fsm.ApplyDelta.
 type ComponentState struct {
 	Component   cluster.ComponentID `cbor:"1,keyasint"`
 	Version     uint64              `cbor:"2,keyasint"`
@@ -65,20 +66,21 @@
 	BaseVersion uint64              `cbor:"4,keyasint,omitempty"`
 }
 
-// NotLeaderResponse comes with status 421. Leader is empty if it is not known.
+// NotLeaderResponse is the body of a response with status 421. Leader is empty if the raft node does not know the leader.
 type NotLeaderResponse struct {
 	Leader cluster.MemberID `cbor:"1,keyasint,omitempty"`
 }
 
-// NodeIdentity is a raft node's server id, whether its folder is empty, and the members that it is configured with.
+// NodeIdentity is what raft nodes exchange before one of them creates the raft group: a node's raft server id, whether
+// its folder is empty, and the members that it is configured with.
 type NodeIdentity struct {
 	ServerID string             `cbor:"1,keyasint"`
 	Empty    bool               `cbor:"2,keyasint,omitempty"`
 	Members  []cluster.MemberID `cbor:"3,keyasint"`
 }
 
-// JoinRequest asks the leader to add a raft node's server to the configuration. AppliedIndex is the index of the last
-// entry that the server has applied.
+// JoinRequest asks the leader to make a raft node's server a voter. AppliedIndex is the index of the last log entry that
+// the server has applied.
 type JoinRequest struct {
 	Member       cluster.MemberID `cbor:"1,keyasint"`
 	ServerID     string           `cbor:"2,keyasint"`
--- a/cluster/transport/server.go
+++ b/cluster/transport/server.go
@@ -23,8 +23,8 @@
 	handlers map[string]fasthttp.RequestHandler
 }
 
-// NewServer returns a server for at most maxConns connections. A request that has begun must be received completely
-// within the time-out, and its response be read within it.
+// NewServer returns a server for at most maxConns connections. The time-out applies to receiving a request completely once
+// it has begun, and to writing its response.
 func NewServer(maxConns int, timeout time.Duration) *Server {
 	s := &Server{handlers: map[string]fasthttp.RequestHandler{}}
 	s.http = fasthttp.Server{
@@ -49,22 +49,22 @@
 // Handle registers the handler of a path. It must not be called after Serve.
 func (s *Server) Handle(path string, handler fasthttp.RequestHandler) { s.handlers[path] = handler }
 
-// Serve accepts connections until Close.
+// Serve accepts connections until Close is called.
 func (s *Server) Serve(listener net.Listener) error { return s.http.Serve(listener) }
 
-// Close stops the server. Requests that are being handled are answered, up to the time-out.
+// Close stops the server. It waits for the requests that are being handled, up to the time-out.
 func (s *Server) Close(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// Sender returns the member that sent a request, by its own statement.
+// Sender returns the member that a request names as its sender. The name is not authenticated.
 func Sender(ctx *fasthttp.RequestCtx) cluster.MemberID {
 	return cluster.MemberID(ctx.Request.Header.Peek(senderHeader))
 }
 
-// serve decompresses a request, has it handled and compresses the response.
+// serve decompresses a request, calls the handler of its path and compresses the response.
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
 	handler := s.handlers[string(ctx.Path())]
 	if handler == nil {
@@ -94,13 +94,14 @@
 	}
 	if compression != "" {
 		request.Header.Del(compressionHeader)
-		// Only a new body: SetBodyRaw returns the request's own one to the pool, while it would still be read.
+		// This is only done with a new body: SetBodyRaw returns the request's body buffer to a pool, so that setting that
+		// buffer again would let another request overwrite it while the handler reads it.
 		request.SetBodyRaw(body)
 	}
 	return nil
 }
 
-// discardLogger drops fasthttp's messages, of which there is one for each connection that fails.
+// discardLogger drops fasthttp's log messages, which it writes for every failed connection.
 type discardLogger struct{}
 
 // Printf does nothing.
--- a/cluster/transport/tracked_conn.go
+++ b/cluster/transport/tracked_conn.go
@@ -9,13 +9,13 @@
 
 var errConnWasClosed = errors.New("the connection was closed while idle")
 
-// trackedConn is a client connection that knows whether the last request was written completely. It has one request at
-// a time. It is its own local address: fasthttp gives a response only the address of its connection, and through it
-// Client.Call reaches the connection.
+// trackedConn is a client connection that records whether its current request was written completely. It carries one
+// request at a time. It also implements net.Addr and is its own local address: fasthttp gives Client.Call only the
+// response's local address, and through that outcomeOf reaches the connection.
 type trackedConn struct {
 	net.Conn
-	isStarted    bool // a byte of the request was written, and nothing read since
-	isIncomplete bool // the request was not written completely
+	isStarted    bool // a part of the request was written, and nothing was read since
+	isIncomplete bool // the last write failed or wrote only a part
 }
 
 // LocalAddr returns the connection itself.
@@ -27,8 +27,8 @@
 // String implements net.Addr.
 func (c *trackedConn) String() string { return c.Conn.LocalAddr().String() }
 
-// Write writes a part of a request, unless the server has sent something or closed the connection: a request that is
-// written to a closed connection could not be told from one that arrived.
+// Write writes a part of a request. It fails without writing if the server has closed the connection or sent something:
+// a write to a connection that the server has closed can succeed, and the request would then seem to have arrived.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	if isQuiet, _ := socket.Inspect(c.Conn); !isQuiet {
 		c.isIncomplete = true
