--- a/cluster/config/config.go
+++ b/cluster/config/config.go
@@ -1,5 +1,5 @@
-// Package config parses the operator file: the cluster's settings, members, sites and lists. It leaves the
-// blocks of rebalance plans to cluster/rebalance.
+// Package config parses the operator file: the cluster's settings, members, sites and lists. It ignores the
+// blocks of rebalance plans, which cluster/rebalance parses.
 package config
 
 import (
@@ -15,9 +15,9 @@
 type File struct {
 	Name          string // of the cluster
 	LeaseTTL      api.Micros
-	MaxClockDrift float64 // maximal difference between the rates of two clocks, as a share
-	InitialRanges int     // number of ranges at the first start
-	MaxDeparting  int     // members that may leave at once in a planned restart
+	MaxClockDrift float64 // maximum difference between the rates of two members' clocks: 0.05 is 5 %
+	InitialRanges int     // number of ranges when the cluster first starts
+	MaxDeparting  int     // number of members that may leave at the same time in a planned restart
 	Members       []Member
 	Sites         []Site
 	Lists         []List
@@ -27,16 +27,16 @@
 type Member struct {
 	ID          cluster.MemberID
 	Address     string // host:port of its server
-	RaftAddress string // host:port of its raft node; "": it has none
+	RaftAddress string // host:port of its raft node; empty if it runs none
 	Zone        string
 	Weight      float64
-	MaxRanges   int // 0: no limit
+	MaxRanges   int // maximum number of ranges it may own; 0: no limit
 }
 
 // Site is a set of subscribers that are reached through one relay.
 type Site struct {
 	ID          cluster.SiteID
-	Relay       cluster.MemberID    // serves the site's subscribers, and takes no clients' requests for others
+	Relay       cluster.MemberID    // serves the site's subscribers, and no client requests for other subscribers
 	Subscribers []api.DestinationID // sorted
 }
 
@@ -46,7 +46,7 @@
 	Subscribers []api.DestinationID // sorted
 }
 
-// Member returns a member by its name.
+// Member returns the member with an id, and whether there is one.
 func (f *File) Member(id cluster.MemberID) (Member, bool) {
 	i := slices.IndexFunc(f.Members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -55,7 +55,7 @@
 	return f.Members[i], true
 }
 
-// SiteOf returns the site that a subscriber belongs to, if any.
+// SiteOf returns the site that a subscriber belongs to, and whether it belongs to one.
 func (f *File) SiteOf(d api.DestinationID) (Site, bool) {
 	for _, s := range f.Sites {
 		if _, ok := slices.BinarySearch(s.Subscribers, d); ok {
@@ -65,7 +65,8 @@
 	return Site{}, false
 }
 
-// Groups returns the shard map's groups: the subscribers of each site share a position in the key space.
+// Groups returns the shard map's placement groups, sorted by key. The subscribers of a site form one group, so that they
+// share a position in the key space.
 func (f *File) Groups() (all []shardmap.PlacementGroup) {
 	for _, s := range f.Sites {
 		if len(s.Subscribers) > 0 {
--- a/cluster/config/members.go
+++ b/cluster/config/members.go
@@ -23,18 +23,19 @@
 	maxWeight     = 1e6
 )
 
-// namePositions records where each name and address was first used.
+// namePositions maps each member name and address to its position in the file.
 type namePositions map[string]hcl.Range
 
-// add records a name, and returns an error if another member has it.
+// add records a name or address, and returns an error if it was used before.
 func (p namePositions) add(name string, position hcl.Range) error {
 	if first, used := p[name]; used {
-		return errorAt(position, "%s stands in line %d already: it has to be one member's", name, first.Start.Line)
+		return errorAt(position, "%s stands in line %d already: it must be unique among the members", name, first.Start.Line)
 	}
 	p[name] = position
 	return nil
 }
 
+// parseMembers fills f.Members. 1, 3 or 5 of the members must have a raft address.
 func (f *File) parseMembers(blocks fileBlocks) error {
 	names := namePositions{}
 	raftNodes := 0
@@ -42,7 +43,7 @@
 		weight := valueOr(b.Weight, defaultWeight)
 		if b.ID == "" || !isBetween(weight, 0, maxWeight) || b.MaxRanges < 0 {
 			return errorAt(b.Position,
-				"member %q needs a name, a weight from 0 to 1e6, and a room of at least 0 (0: no limit)", b.ID)
+				"member %q must have a name, a weight from 0 to 1e6, and a room of at least 0 (0: no limit)", b.ID)
 		}
 		if err := names.add("member "+b.ID, b.Position); err != nil {
 			return err
@@ -64,7 +65,7 @@
 	}
 	if raftNodes != 1 && raftNodes != 3 && raftNodes != 5 {
 		return errorAt(blocks.Clusters[0].Position,
-			"%d members have an address log: three or five must have one (a single one: for trials)", raftNodes)
+			"%d members have an address log: 3 or 5 must have one (or 1 in a test cluster, which tolerates no failure)", raftNodes)
 	}
 	return nil
 }
--- a/cluster/config/parse.go
+++ b/cluster/config/parse.go
@@ -19,13 +19,13 @@
 	minLeaseTTL          = 100 * time.Millisecond
 	maxLeaseTTL          = time.Minute
 	defaultMaxClockDrift = 0.05
-	maxMaxClockDrift     = 0.3 // beyond it the holder could use less than half of a TTL
+	maxMaxClockDrift     = 0.3 // with more drift, a lease holder could use less than half of the TTL
 	defaultRanges        = 64
 	maxRanges            = 1 << 16
 	defaultMaxDeparting  = 1
 )
 
-// fileBlocks is the file as HCL decodes it. The plan's blocks remain in Rest.
+// fileBlocks is the operator file as HCL decodes it. Rest has all other blocks, such as those of a rebalance plan.
 type fileBlocks struct {
 	Clusters []clusterBlock `hcl:"fleet,block"`
 	Members  []memberBlock  `hcl:"member,block"`
@@ -43,8 +43,8 @@
 	Position      hcl.Range `hcl:",def_range"`
 }
 
-// Parse parses an operator file; name is the file's name in errors. An error is a single line with the file,
-// the line number and what is allowed there.
+// Parse parses an operator file; name is the file's name in errors. An error is a single line with the file, the line
+// number and, for a value out of range, the allowed values.
 func Parse(text []byte, name string) (File, error) {
 	parsed, diagnostics := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
 	if diagnostics.HasErrors() {
@@ -55,7 +55,7 @@
 		return File{}, firstError(diagnostics)
 	}
 	if len(blocks.Clusters) != 1 {
-		return File{}, fmt.Errorf("%s: %d blocks fleet \"NAME\" { }: there has to be one", name, len(blocks.Clusters))
+		return File{}, fmt.Errorf("%s: %d blocks fleet \"NAME\" { }: there must be exactly one", name, len(blocks.Clusters))
 	}
 	f := File{}
 	for _, parse := range []func(fileBlocks) error{f.parseCluster, f.parseMembers, f.parseSites, f.parseLists} {
@@ -66,7 +66,7 @@
 	return f, nil
 }
 
-// firstError returns the first diagnostic that is an error with a position, on one line.
+// firstError returns the first error among the diagnostics that has a position, as one line.
 func firstError(diagnostics hcl.Diagnostics) error {
 	for _, d := range diagnostics {
 		if d.Severity == hcl.DiagError && d.Subject != nil {
@@ -77,6 +77,7 @@
 	return diagnostics
 }
 
+// errorAt returns an error that begins with the file and line of a position.
 func errorAt(position hcl.Range, format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s", position.Filename, position.Start.Line, fmt.Sprintf(format, args...))
 }
@@ -96,29 +97,30 @@
 		var err error
 		ttl, err = time.ParseDuration(b.LeaseTTL)
 		if err != nil || ttl < minLeaseTTL || ttl > maxLeaseTTL {
-			return errorAt(b.Position, "term is %q: a time from %s to %s, as in \"3s\"", b.LeaseTTL, minLeaseTTL, maxLeaseTTL)
+			return errorAt(b.Position, "term is %q: it must be a duration from %s to %s, such as \"3s\"",
+				b.LeaseTTL, minLeaseTTL, maxLeaseTTL)
 		}
 	}
 	f.LeaseTTL = api.Micros(ttl.Microseconds())
 	f.MaxClockDrift = valueOr(b.MaxClockDrift, defaultMaxClockDrift)
 	if !isBetween(f.MaxClockDrift, 0, maxMaxClockDrift) {
-		return errorAt(b.Position, "clocks_apart is %g: a share from 0 to %g", f.MaxClockDrift, maxMaxClockDrift)
+		return errorAt(b.Position, "clocks_apart is %g: it must be a share from 0 to %g", f.MaxClockDrift, maxMaxClockDrift)
 	}
 	f.InitialRanges = valueOr(b.Ranges, defaultRanges)
 	if f.InitialRanges < 1 || f.InitialRanges > maxRanges {
-		return errorAt(b.Position, "ranges is %d: from 1 to %d", f.InitialRanges, maxRanges)
+		return errorAt(b.Position, "ranges is %d: it must be from 1 to %d", f.InitialRanges, maxRanges)
 	}
 	f.MaxDeparting = valueOr(b.MaxDeparting, defaultMaxDeparting)
 	if f.MaxDeparting < 1 {
-		return errorAt(b.Position, "leaving_at_once is %d: 1 or more", f.MaxDeparting)
+		return errorAt(b.Position, "leaving_at_once is %d: it must be at least 1", f.MaxDeparting)
 	}
 	return nil
 }
 
-// isBetween is false for a NaN.
+// isBetween reports whether a value is within two bounds, inclusive. It is false for a NaN.
 func isBetween(value, lowest, highest float64) bool { return value >= lowest && value <= highest }
 
-// parseSubscribers sorts the numbers and drops duplicates: an announcement goes to each subscriber once.
+// parseSubscribers returns the subscribers sorted and without duplicates, so that an announcement goes to each once.
 func parseSubscribers(numbers []uint32) (subscribers []api.DestinationID) {
 	for _, n := range numbers {
 		subscribers = append(subscribers, api.DestinationID(n))
--- a/cluster/config/sites.go
+++ b/cluster/config/sites.go
@@ -33,14 +33,14 @@
 			return errorAt(b.Position, "site %q: no member is called %q", b.ID, b.Relay)
 		}
 		if first, used := relays[b.Relay]; used {
-			return errorAt(b.Position, "site %q: %s is the relay of the site in line %d already: it has one",
+			return errorAt(b.Position, "site %q: %s is the relay of the site in line %d already: a member can serve only one site",
 				b.ID, b.Relay, first.Start.Line)
 		}
 		relays[b.Relay] = b.Position
 		subscribers := parseSubscribers(b.Subscribers)
 		for _, d := range subscribers {
 			if first, used := siteOf[d]; used {
-				return errorAt(b.Position, "destination %d is a subscriber of the site in line %d already: it belongs to one site",
+				return errorAt(b.Position, "destination %d is a subscriber of the site in line %d already: it can belong to only one",
 					d, first.Start.Line)
 			}
 			siteOf[d] = b.Position
