--- a/cluster/relay/receiver.go
+++ b/cluster/relay/receiver.go
@@ -14,23 +14,25 @@
 	"rowanlink/webhook/api"
 )
 
-// ReceiverStore is the journal and policy of the relay.
+// ReceiverStore is the journal and the delivery policy of the relay's dispatcher.
 type ReceiverStore interface {
-	// Persist stores the checkpoint and fresh items in one write; after that the policy may attempt them. With an
-	// error nothing is stored. It is called with the Receiver's lock held: it must not wait for a caller of
-	// RecordResult.
+	// Persist stores the checkpoint and the fresh items in one write; then the policy may attempt them. If it returns
+	// an error, nothing was stored. It is called with the Receiver's lock held, which RecordResult takes as well: to wait
+	// for a goroutine that calls RecordResult would be a deadlock.
 	Persist(c stream.Checkpoint, fresh []stream.Item) error
 	// Capacity returns how many deliveries may be pending at once.
 	Capacity() int
-	// ForgetResults is called for deliveries whose results their origins have.
+	// ForgetResults deletes the results of deliveries, which their origins have recorded.
 	ForgetResults([]stream.Delivery)
-	// DestinationStates returns what is known of destinations. No lock is held.
+	// DestinationStates returns the states of destinations as this dispatcher observed them. It is called without the
+	// Receiver's lock.
 	DestinationStates(of []api.DestinationID) []api.DestinationState
-	// ApplyDestinationStates imports what the origin knows; times are of this clock. No lock is held.
+	// ApplyDestinationStates imports the states that the sender observed, with times converted to this member's clock. It
+	// is called without the Receiver's lock.
 	ApplyDestinationStates([]api.DestinationState)
 }
 
-// Receiver is a site's relay, at the member that serves the site.
+// Receiver is the relay's end of a site's stream. It runs at the member that is the site's relay.
 type Receiver struct {
 	store     ReceiverStore
 	messenger Messenger
@@ -42,12 +44,12 @@
 	notifiers   map[cluster.MemberID]chan struct{} // of the goroutines that report results, by origin
 	closed      chan struct{}
 	running     sync.WaitGroup
-	hasFrame    atomic.Bool  // the sender has sent a frame in this generation, so it gets the acks
-	lastContact atomic.Int64 // api.Micros of the sender's last valid request
+	hasFrame    atomic.Bool  // a frame of this generation came: the sender has the ack of its request to open
+	lastContact atomic.Int64 // time of the sender's last valid request, in api.Micros
 }
 
-// NewReceiver returns a receiver with the state that the journal has, and reports the results that are not yet
-// acknowledged. It needs Close.
+// NewReceiver returns a receiver with the state restored from the journal, and starts to report the results that are not
+// yet acknowledged. Close stops it.
 func NewReceiver(state *stream.Receiver, store ReceiverStore, messenger Messenger, timing Timing,
 	now func() api.Micros) *Receiver {
 	r := &Receiver{
@@ -67,13 +69,13 @@
 	return r
 }
 
-// RegisterHandlers adds the handlers to a server that does not serve yet.
+// RegisterHandlers registers the handlers at a server. It must be called before the server's Serve.
 func (r *Receiver) RegisterHandlers(s *transport.Server) {
 	s.Handle(OpenPath, r.HandleOpen)
 	s.Handle(FramePath, r.HandleFrame)
 }
 
-// Close stops reporting results and waits for the goroutines that do.
+// Close stops the goroutines that report results and waits for them.
 func (r *Receiver) Close() {
 	close(r.closed)
 	r.running.Wait()
@@ -122,21 +124,23 @@
 	r.respond(ctx, nil, err)
 }
 
+// recordContact records the time of a request that the receiver accepted, which err == nil says.
 func (r *Receiver) recordContact(err error) {
 	if err == nil {
 		r.lastContact.Store(int64(r.now()))
 	}
 }
 
-// MayBeBypassed reports whether the sender may consider this relay unreachable and call destinations itself: there
-// was no contact for most of the time after which it does, or it opened a generation and has sent nothing in it.
+// MayBeBypassed reports whether the sender may be calling destinations itself because it considers this relay unreachable.
+// That is so if the last contact is longer ago than three quarters of the sender's UnreachableTimeout, or if no frame has
+// come in this generation: the ack of the request to open may not have reached the sender.
 func (r *Receiver) MayBeBypassed() bool {
 	idle := time.Duration(int64(r.now())-r.lastContact.Load()) * time.Microsecond
 	return !r.hasFrame.Load() || idle > r.timing.UnreachableTimeout*3/4
 }
 
-// persist stores the checkpoint with fresh items. If the write fails, what was received is rolled back and must not
-// be acknowledged.
+// persist stores the checkpoint with fresh items. If the write fails, it rolls the receiver's state back, so that the ack
+// does not cover the frame or request that could not be stored.
 func (r *Receiver) persist(fresh []stream.Item) error {
 	err := r.store.Persist(r.state.Checkpoint(), fresh)
 	if err != nil {
@@ -146,6 +150,7 @@
 	return err
 }
 
+// respond answers a request with an ack of the current state and the status for err.
 func (r *Receiver) respond(ctx *fasthttp.RequestCtx, pending []stream.Delivery, err error) {
 	a := r.state.Ack(r.store.Capacity(), r.now())
 	a.Pending = pending
@@ -153,7 +158,8 @@
 	ctx.SetBody(transport.Encode(a))
 }
 
-// RecordResult records the result of a delivery, which the journal has already, and has it reported.
+// RecordResult records the result of a delivery, and has it reported to the delivery's origin. The caller must have
+// stored the result in the journal before.
 func (r *Receiver) RecordResult(result stream.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cluster/relay/result_reporter.go
+++ b/cluster/relay/result_reporter.go
@@ -10,11 +10,11 @@
 	"rowanlink/webhook/api"
 )
 
-// maxResultsPerMessage limits a ResultsMessage.
+// maxResultsPerMessage limits the number of results in a ResultsMessage.
 const maxResultsPerMessage = 256
 
-// notify has results reported to their origin. Each origin has its own goroutine, so that an unreachable one does not
-// block others. The caller holds the lock.
+// notify wakes the goroutine that reports results to an origin, and starts it at the first call. Each origin has its own
+// goroutine, so that an unreachable one does not block the others. The caller holds the lock.
 func (r *Receiver) notify(origin cluster.MemberID) {
 	notifier := r.notifiers[origin]
 	if notifier == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// reportResults reports an origin's results until Close.
+// reportResults reports an origin's results until the receiver is closed. notifier signals new results.
 func (r *Receiver) reportResults(origin cluster.MemberID, notifier chan struct{}) {
 	defer r.running.Done()
 	for {
@@ -44,7 +44,8 @@
 	}
 }
 
-// reportUntilAcknowledged repeats the report with a growing backoff. It returns false after Close.
+// reportUntilAcknowledged sends results until the origin has acknowledged all of them, with an exponential backoff after
+// failures. It returns false if the receiver is closed.
 func (r *Receiver) reportUntilAcknowledged(origin cluster.MemberID) bool {
 	for backoff := r.timing.PollInterval; ; {
 		hasMore, acknowledged := r.sendResults(origin)
@@ -70,7 +71,8 @@
 	}
 }
 
-// sendResults sends one message. It returns whether there may be more to send, and whether this one was acknowledged.
+// sendResults sends one ResultsMessage. hasMore is false if there was nothing to send; acknowledged says whether the
+// origin has recorded at least one result.
 func (r *Receiver) sendResults(origin cluster.MemberID) (hasMore, acknowledged bool) {
 	r.mu.Lock()
 	message := ResultsMessage{Results: r.state.UnacknowledgedResults(origin, maxResultsPerMessage)}
@@ -91,7 +93,9 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.store.ForgetResults(recorded) // first: a result that only the store still has is reported again, which does no harm
+	// The store forgets the results first. If a write of it is lost, the results are reported again after a restart, which
+	// does no harm: the origin ignores them.
+	r.store.ForgetResults(recorded)
 	r.state.AcknowledgeResults(recorded)
 	return true, true
 }
--- a/cluster/relay/sender.go
+++ b/cluster/relay/sender.go
@@ -13,41 +13,45 @@
 	"rowanlink/webhook/api"
 )
 
-// SenderStore is the journal and policy of the origin. Except for DestinationStates and ApplyDestinationStates it is
-// called with the Sender's lock held: it must not call the Sender, nor wait for anyone who does.
+// SenderStore is the journal and the delivery policy of the origin's dispatcher. All methods except DestinationStates and
+// ApplyDestinationStates are called with the Sender's lock held: they must not call the Sender, nor wait for a goroutine
+// that does.
 type SenderStore interface {
-	// RecordSending records deliveries before their first byte is sent to that incarnation of the relay's folder.
-	// With an error nothing is recorded or sent.
+	// RecordSending journals that deliveries are about to be sent to an incarnation of the relay's folder. It must return
+	// before their first byte is sent. If it returns an error, nothing was recorded, and nothing is sent.
 	RecordSending(items []stream.Item, receiverIncarnation uint64, at api.Micros) error
-	// Requeue takes back deliveries that the relay never received and never will: they are queued again.
+	// Requeue records that the relay never received deliveries and never will. The Sender has queued them again.
 	Requeue([]stream.Delivery)
-	// Bypass hands deliveries that were never sent to this dispatcher's policy.
+	// Bypass hands deliveries over to this dispatcher's policy, which attempts them itself. They were never sent to the
+	// relay.
 	Bypass([]stream.Delivery)
-	// ResolveInDoubt decides, by stream.Resolve or for lost ones by stream.ResolveLost, about deliveries that the
-	// relay may have. It returns those that the Sender is to forget: those that now have a result, and those that
-	// are retried by the origin and not ordered.
+	// ResolveInDoubt decides what to do with deliveries that the relay may have, by stream.Resolve, or by
+	// stream.ResolveLost if they were lost with the relay's folder. It returns the deliveries that the Sender must forget:
+	// those that now have a result, and the unordered ones that the origin retries itself.
 	ResolveInDoubt(deliveries []stream.InDoubt, lost bool) (forget []stream.Delivery)
-	// RecordResults records results, as stream.ActionForResult says, and returns the deliveries whose results it
-	// has, including those that it had before.
+	// RecordResults acts on results as stream.ActionForResult says. It returns the deliveries to acknowledge: those whose
+	// results the journal has, whether recorded now or before.
 	RecordResults([]stream.Result) (recorded []stream.Delivery)
-	// DropExpired is called for deliveries that expired in the queue. They never ran.
+	// DropExpired ends deliveries that expired in the queue. They were never attempted.
 	DropExpired([]stream.Delivery)
-	// DestinationStates returns what this dispatcher knows of the site's destinations. No lock is held.
+	// DestinationStates returns the states of the site's destinations as this dispatcher observed them. It is called
+	// without the Sender's lock.
 	DestinationStates() []api.DestinationState
-	// ApplyDestinationStates imports what the relay knows; times are of this clock. No lock is held.
+	// ApplyDestinationStates imports the states that the relay observed, with times converted to this member's clock. It is
+	// called without the Sender's lock.
 	ApplyDestinationStates([]api.DestinationState)
 }
 
-// Sender sends a site's stream to its relay.
+// Sender is the origin's end of a site's stream.
 type Sender struct {
 	relay      cluster.MemberID
 	store      SenderStore
 	messenger  Messenger
 	timing     Timing
 	now        func() api.Micros
-	holdsLease func() bool // on sending to the site, now
+	holdsLease func() bool // reports whether this member now holds the lease on sending to the site
 
-	fenced atomic.Bool // the relay has seen a later epoch, though the lease is held
+	fenced atomic.Bool // the relay has seen a later epoch than that of the lease which this sender holds
 
 	mu     sync.Mutex
 	state  *stream.Sender
@@ -57,14 +61,14 @@
 
 	// Owned by Run.
 	opened             bool
-	lastContact        time.Time // last response of the relay
+	lastContact        time.Time // when the relay last responded
 	lastExpiryCheck    time.Time
-	lastInquiry        time.Time         // last request without holding the lease
-	recordedGeneration stream.Generation // the store has the frames of this generation up to recordedSequence
+	lastInquiry        time.Time         // when it last sent a request without holding the lease
+	recordedGeneration stream.Generation // RecordSending was called for its frames up to recordedSequence
 	recordedSequence   stream.Sequence
 }
 
-// NewSender returns a sender of what state has, to be started by Run. holdsLease is called before each message.
+// NewSender returns a sender with the given protocol state. Run starts it. holdsLease is called before each message.
 func NewSender(relay cluster.MemberID, state *stream.Sender, store SenderStore, messenger Messenger, timing Timing,
 	now func() api.Micros, holdsLease func() bool) *Sender {
 	return &Sender{
@@ -81,15 +85,15 @@
 	}
 }
 
-// Add queues an item that the journal has.
+// Add queues an item, which the caller must have stored in the journal. latencyTarget is that of its event type.
 func (s *Sender) Add(i stream.Item, latencyTarget api.Micros) {
 	s.update(func() { s.state.Add(i, latencyTarget, s.now()) })
 }
 
-// Complete records the result of a delivery that bypasses the relay.
+// Complete records that a delivery that bypassed the relay has its result.
 func (s *Sender) Complete(d stream.Delivery) { s.update(func() { s.state.Complete(d) }) }
 
-// DetachDestination stops sending for a subscriber that the operator file no longer has at this site.
+// DetachDestination stops sending deliveries for a subscriber, which the operator file no longer has at this site.
 func (s *Sender) DetachDestination(d api.DestinationID) {
 	s.update(func() { s.state.DetachDestination(d) })
 }
@@ -99,7 +103,8 @@
 	s.update(func() { s.state.AttachDestination(d) })
 }
 
-// update changes the state, passes on the deliveries that may bypass the relay after that, and wakes Run up.
+// update changes the protocol state under the lock, hands the deliveries that may then bypass the relay to the store, and
+// wakes up Run.
 func (s *Sender) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,11 +118,11 @@
 	}
 }
 
-// IsFenced reports whether the relay rejects the sender though it holds the lease: the relay was another site's
-// before, whose sender had a later epoch. The lease has to be acquired again.
+// IsFenced reports whether the relay rejects this sender although it holds the lease. That happens if the member was the
+// relay of another site before, whose sender had a later epoch. The lease must be acquired again, with a later epoch.
 func (s *Sender) IsFenced() bool { return s.fenced.Load() }
 
-// IsUnreachable reports whether everything bypasses the relay, as it is unreachable or another member sends to it.
+// IsUnreachable reports whether all deliveries bypass the relay, because it is unreachable or another member sends to it.
 func (s *Sender) IsUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +151,7 @@
 	ctx.SetBody(transport.Encode(recorded))
 }
 
-// Close stops Run and waits for it. What is in flight stays so.
+// Close stops Run and waits for it. Deliveries in flight stay in flight: the journal has them.
 func (s *Sender) Close() {
 	close(s.closed)
 	<-s.done
--- a/cluster/relay/sender_loop.go
+++ b/cluster/relay/sender_loop.go
@@ -10,7 +10,7 @@
 	"rowanlink/cluster/transport"
 )
 
-// Run sends until Close.
+// Run sends to the relay until Close is called.
 func (s *Sender) Run() {
 	defer close(s.done)
 	s.lastContact = time.Now()
@@ -28,7 +28,8 @@
 	}
 }
 
-// wakeupUnlessBackingOff returns the wakeup channel, or nil after an attempt that failed.
+// wakeupUnlessBackingOff returns the wakeup channel. It returns nil, which never receives, if the stream could not be
+// opened: then Run waits for the whole backoff.
 func (s *Sender) wakeupUnlessBackingOff(wait time.Duration) <-chan struct{} {
 	if !s.opened && wait > 0 {
 		return nil
@@ -36,7 +37,7 @@
 	return s.wakeup
 }
 
-// step sends at most one message and returns how long to wait before the next step.
+// step sends at most one message. It returns how long to wait for a wakeup before the next step.
 func (s *Sender) step() time.Duration {
 	if time.Since(s.lastExpiryCheck) > s.timing.PollInterval {
 		s.lastExpiryCheck = time.Now()
@@ -62,8 +63,10 @@
 	}
 }
 
+// sendFrame records a frame and sends it. If the relay's ack shows that it still waits for an earlier frame, all frames
+// without an ack are sent again.
 func (s *Sender) sendFrame(f stream.Frame) time.Duration {
-	if err := s.record(f); err != nil { // it was not sent, and is retransmitted unchanged
+	if err := s.record(f); err != nil { // the frame is not sent now; Retransmit has it sent later, unchanged
 		slog.Error("stream: frame not recorded", "relay", s.relay, "error", err)
 		s.update(s.state.Retransmit)
 		return s.timing.PollInterval
@@ -76,8 +79,8 @@
 	})
 }
 
-// record has a frame recorded before it is first sent. A retransmitted frame must not be recorded again: some of its
-// deliveries may have their results.
+// record has the store record a frame before it is first sent. A retransmitted frame is not recorded again: some of its
+// deliveries may already have a result, after which they must not be recorded as being sent.
 func (s *Sender) record(f stream.Frame) error {
 	if f.Generation == s.recordedGeneration && f.Sequence <= s.recordedSequence {
 		return nil
@@ -97,7 +100,8 @@
 	return nil
 }
 
-// inquire is the step of a sender that no longer holds the lease: it still needs the results of what it sent.
+// inquire is the step of a sender that no longer holds the lease. It requests the state of the deliveries that it sent and
+// that have no result, at most once per UnreachableTimeout.
 func (s *Sender) inquire() time.Duration {
 	s.markUnreachable()
 	s.mu.Lock()
@@ -110,7 +114,8 @@
 	return s.timing.PollInterval
 }
 
-// pollCredit asks for the relay's credit from time to time, as a full relay's report of it may have been lost.
+// pollCredit requests the relay's credit when there was no contact for half of UnreachableTimeout. A relay that was full
+// reports its new credit by itself, with results, but that message may have been lost.
 func (s *Sender) pollCredit() time.Duration {
 	interval := s.timing.UnreachableTimeout / 2
 	if rest := interval - time.Since(s.lastContact); rest > 0 {
@@ -123,7 +128,8 @@
 	return s.send(OpenPath, transport.Encode(message), func(stream.Ack) {})
 }
 
-// send sends a request while the stream is open. If the relay's ack is valid, it calls onAck with the lock held.
+// send sends a request while the stream is open. If the relay responds with an ack, send processes it and calls onAck with
+// the lock held. It returns how long to wait before the next step.
 func (s *Sender) send(path string, body []byte, onAck func(stream.Ack)) time.Duration {
 	response, err := s.messenger.Call(s.relay, path, body, s.timing.RequestTimeout)
 	var a stream.Ack
@@ -151,14 +157,15 @@
 	return 0
 }
 
-// checkReachable marks the relay as unreachable after a time without contact.
+// checkReachable marks the relay as unreachable after UnreachableTimeout without contact.
 func (s *Sender) checkReachable() {
 	if time.Since(s.lastContact) > s.timing.UnreachableTimeout {
 		s.markUnreachable()
 	}
 }
 
-// markUnreachable has the deliveries in doubt resolved. It does so at each call, as the resolution changes with time.
+// markUnreachable marks the relay as unreachable and resolves the deliveries that it may have. It resolves them again at
+// each call, as the resolution depends on the time.
 func (s *Sender) markUnreachable() {
 	s.opened = false
 	s.update(func() {
@@ -168,6 +175,8 @@
 	})
 }
 
+// openStream sends a request to open the stream and resolves the deliveries that were sent before. It returns how long to
+// wait before the next step.
 func (s *Sender) openStream() time.Duration {
 	s.mu.Lock()
 	request := s.state.OpenRequest()
--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -29,7 +29,7 @@
 	s.sender.Add(i, 10_000)
 }
 
-// waitForResults waits until n deliveries have a result, and counts results and attempts beyond the first.
+// waitForResults waits until n deliveries have a result. It returns how many further results and attempts they had.
 func (s *testSite) waitForResults(n int) (extraResults, extraAttempts int) {
 	require.Eventually(s.t, func() bool {
 		s.mu.Lock()
@@ -82,7 +82,7 @@
 
 func TestReceiver_RestartLosesAndRepeatsNothing(t *testing.T) {
 	s := newTestSite(t)
-	s.blocked[3] = true // unhealthy, which does not block the others
+	s.blocked[3] = true // an unhealthy destination must not block the others
 	for id := range uint64(10) {
 		s.add(id, destinations(5)...)
 	}
@@ -122,7 +122,7 @@
 		return s.bypassed == 2
 	}, 10*time.Second, 5*time.Millisecond)
 	s.mu.Lock()
-	assert.Len(t, s.unfinished, 1, "it may have run")
+	assert.Len(t, s.unfinished, 1, "the delivery at the relay may have run")
 	s.blocked[1] = false
 	s.mu.Unlock()
 	s.toRelay.set(false, neverFaulty)
--- a/cluster/relay/testsite_test.go
+++ b/cluster/relay/testsite_test.go
@@ -17,20 +17,20 @@
 	"rowanlink/webhook/api"
 )
 
-const leaseTTL = 300_000 // microseconds; all other times follow from it
+const leaseTTL = 300_000 // microseconds; TimingFor derives the time-outs and intervals from it
 
 var clockStart = time.Now()
 
 func clock() api.Micros { return api.Micros(time.Since(clockStart).Microseconds()) }
 
-// The faults of a message; numbers from there on are none.
+// The faults that faultyClient draws for a message. Greater numbers mean no fault.
 const (
 	loseRequest = iota
 	duplicateRequest
 	loseResponse
 )
 
-// neverFaulty, as faultEvery, makes a fault improbable.
+// neverFaulty is a value of faultEvery with which a fault is very improbable.
 const neverFaulty = 1 << 20
 
 // faultyClient loses requests and responses, and duplicates some requests.
@@ -39,8 +39,8 @@
 	mu          sync.Mutex
 	random      *rand.Rand
 	partitioned bool
-	faultEvery  int // one in so many messages has each kind of fault
-	lostFrames  int // how many of the next frames are lost
+	faultEvery  int // each of the three faults has a probability of 1/(3*faultEvery)
+	lostFrames  int // number of frames still to be lost, from the next one on
 }
 
 func (f *faultyClient) Call(
@@ -73,7 +73,7 @@
 	f.faultEvery = faultEvery
 }
 
-// testSite is an origin with a sender and a relay with a receiver, each with a journal in memory.
+// testSite is an origin with a sender, and a relay with a receiver. Each has an in-memory journal.
 type testSite struct {
 	t              *testing.T
 	toRelay        *faultyClient
@@ -85,9 +85,9 @@
 	pending        map[stream.Delivery]bool
 	unacknowledged []stream.Result
 	diskFull       bool
-	blocked        map[api.DestinationID]bool // deliveries to them don't end
+	blocked        map[api.DestinationID]bool // destinations whose deliveries the relay does not run
 
-	unfinished    map[stream.Delivery]stream.Location // at the origin
+	unfinished    map[stream.Delivery]stream.Location // the origin's deliveries without a result
 	results       map[stream.Delivery]int
 	attempts      map[stream.Delivery]int
 	bypassed      int
