--- a/cluster/relay/sender_loop.go
+++ b/cluster/relay/sender_loop.go
@@ -139,7 +139,7 @@
 		s.checkReachable()
 		return s.timing.PollInterval
 	case response.Decode(&a) != nil:
-		slog.Warn("stream: has to be reopened", "relay", s.relay, "status", response.Status)
+		slog.Warn("stream: request rejected or response invalid, reopening", "relay", s.relay, "status", response.Status)
 		s.markUnreachable()
 		return 0
 	}
--- a/cluster/stream/bench_test.go
+++ b/cluster/stream/bench_test.go
@@ -11,19 +11,20 @@
 	"rowanlink/webhook/api"
 )
 
-// How cluster/transport sends messages.
+// The way cluster/transport sends messages, as far as it matters for their size.
 const (
 	compressionThreshold = 4 << 10 // bytes; larger messages are compressed
-	// httpHeaders are the headers of a request and its response, of which the length counts.
+	// httpHeaders are typical headers of a request and its response. Only their length is used.
 	httpHeaders = "POST /fleet/stream HTTP/1.1\r\nHost: 127.0.0.1:7101\r\nSaid-By: m1\r\n" +
 		"Content-Length: 1000\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
 )
 
-// traffic counts requests and the bytes of all messages.
+// traffic counts the requests, and the bytes of all messages.
 type traffic struct{ calls, bytes int }
 
-// transfer encodes and decodes a message, without sockets; isRequest: it counts as a call with HTTP headers.
+// transfer encodes, compresses, counts and decodes a message. It uses no sockets. A request counts as a call, with HTTP
+// headers for itself and its response.
 func transfer[T any](t *traffic, v T, isRequest bool) (decoded T) {
 	raw := Encode(v)
 	if len(raw) >= compressionThreshold {
@@ -49,7 +50,8 @@
 	subscribersPerSite = 250
 )
 
-// announcement returns an item with a body of a kilobyte, half of it digests, which can't be compressed.
+// announcement returns an item for the subscribers of a site. Its body has a kilobyte, half of it digests, which can't be
+// compressed.
 func announcement(site int) Item {
 	i := Item{
 		ID:             MessageID{Origin: "m1", Incarnation: 1, Number: 1},
@@ -69,8 +71,8 @@
 	return i
 }
 
-// BenchmarkAnnouncement sends one announcement to 10,000 subscribers at 40 sites, by a call for each and by streams,
-// both with all results. Sockets and journals are left out of both.
+// BenchmarkAnnouncement sends one announcement to 10,000 subscribers at 40 sites and returns all results, with one call
+// for each subscriber ("direct") and with streams. Neither uses sockets or journals.
 func BenchmarkAnnouncement(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		t := traffic{}
@@ -99,7 +101,7 @@
 	})
 }
 
-// sendDirectly sends an announcement to one subscriber, in a frame of its own, and its result back.
+// sendDirectly sends an announcement to one subscriber in a frame of its own, and returns its result to the origin.
 func sendDirectly(b *testing.B, t *traffic, i Item, to api.DestinationID) {
 	b.Helper()
 	item := FrameItem{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.TTL, FirstAttemptAt: i.FirstAttemptAt}
@@ -123,7 +125,7 @@
 	}
 }
 
-// sendByStream sends an announcement to all subscribers of a site by a stream, and their results back.
+// sendByStream sends an announcement to all subscribers of a site by a stream, and returns their results to the origin.
 func sendByStream(b *testing.B, t *traffic, i Item) {
 	b.Helper()
 	s, r := NewSender(1, 0), NewReceiver(Checkpoint{Incarnation: 9}, nil, nil)
--- a/cluster/stream/codec_test.go
+++ b/cluster/stream/codec_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// Any input is rejected or accepted as a whole, and has no further effect when it is received again.
+// A frame from any input is accepted or rejected as a whole, and has no effect when it is received a second time.
 func FuzzFrame(f *testing.F) {
 	s := NewSender(1, 0)
 	ack := Ack{Incarnation: 9, Generation: Generation{Epoch: 1, Number: 1}, Credit: 9, DestinationLimit: 9}
--- a/cluster/stream/encoded_forms_test.go
+++ b/cluster/stream/encoded_forms_test.go
@@ -7,7 +7,7 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms guards the stored and transmitted forms against changes by a renamed Go field.
+// TestEncodedForms checks that the encoding of stored and transmitted values does not change, such as by a renamed field.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR,
 		Frame{}, OpenRequest{}, Ack{}, Result{}, Checkpoint{}, Generation{}, Delivery{}, MessageID{})
--- a/cluster/stream/frame.go
+++ b/cluster/stream/frame.go
@@ -7,16 +7,16 @@
 	"rowanlink/webhook/api"
 )
 
-// The limits of a frame that is built.
+// The limits of a frame that the sender builds, and the estimates of its size.
 const (
-	maxFrameBytes      = 1 << 20 // a frame is sent, decoded and journalled as a whole, and others wait meanwhile
-	maxFrameDeliveries = 1 << 12 // each delivery is a journal record of its own
-	destinationBytes   = 4       // estimate for one destination in a list, rarely exceeded
-	itemOverheadBytes  = 64      // estimate for the fixed-size fields of an item
+	maxFrameBytes      = 1 << 20 // a frame is sent, decoded and journalled as a whole, which delays the frames after it
+	maxFrameDeliveries = 1 << 12 // the journal has one record for each delivery
+	destinationBytes   = 4       // estimated size of a destination in a list, rarely exceeded
+	itemOverheadBytes  = 64      // estimated size of an item's fixed-size fields
 )
 
-// Unpack returns a frame's items with their destinations, and the number of deliveries. Items share bodies and
-// lists as the frame does.
+// Unpack returns a frame's items with their destinations, and the number of deliveries. Items that refer to the same
+// body or destination list share its memory. The error wraps ErrMalformed.
 func (f *Frame) Unpack() (items []Item, deliveries int, err error) {
 	lists := make([][]api.DestinationID, len(f.DestinationLists))
 	for i, b := range f.DestinationLists {
@@ -51,26 +51,28 @@
 	return items, deliveries, nil
 }
 
+// isValid reports whether an item's fields are in range and its indexes refer to a body and a list of the frame.
 func (f *Frame) isValid(i FrameItem) bool {
 	hasBody := i.Body >= 0 && i.Body < len(f.Bodies)
 	hasList := i.List >= 0 && i.List < len(f.DestinationLists)
 	return hasBody && hasList && i.Attempts >= 0 && i.ID.Origin != "" && i.FirstAttemptAt >= api.Never
 }
 
-// frameBuilder gathers deliveries for one frame.
+// frameBuilder collects the deliveries of a frame.
 type frameBuilder struct {
-	index      map[*queuedItem]int // in parts
+	index      map[*queuedItem]int // of the item's entry in parts
 	parts      []framePart
 	bytes      int // estimated
 	deliveries int
 }
 
+// framePart is an item with those of its destinations that are in the frame.
 type framePart struct {
 	item         *queuedItem
 	destinations []api.DestinationID
 }
 
-// fits reports whether one more delivery fits in; the first does, however large it is.
+// fits reports whether another delivery of an item fits into the frame. The first one always does, whatever its size.
 func (b *frameBuilder) fits(item *queuedItem) bool {
 	grown := b.bytes + destinationBytes
 	if _, known := b.index[item]; !known {
@@ -79,6 +81,7 @@
 	return b.deliveries == 0 || grown <= maxFrameBytes && b.deliveries < maxFrameDeliveries
 }
 
+// add adds the delivery of an item to a destination.
 func (b *frameBuilder) add(item *queuedItem, destination api.DestinationID) {
 	i, known := b.index[item]
 	if !known {
@@ -92,8 +95,8 @@
 	b.bytes += destinationBytes
 }
 
-// build returns the frame, with the items in the order in which the sender got them, so that each subscriber's
-// stay in order.
+// build returns the frame. Its items are in the order in which they were added to the sender, so that the deliveries
+// of each subscriber stay in order.
 func (b *frameBuilder) build(generation Generation, sequence Sequence, now api.Micros) Frame {
 	slices.SortFunc(b.parts, func(x, y framePart) int { return compareOrder(x.item, y.item) })
 	f := Frame{Generation: generation, Sequence: sequence}
@@ -125,7 +128,7 @@
 	return f
 }
 
-// intern returns the index of b in all, and appends it if it is not there yet.
+// intern returns the index of b in all, and appends b if all does not contain it yet.
 func intern(all *[][]byte, index map[string]int, b []byte) int {
 	i, known := index[string(b)]
 	if !known {
--- a/cluster/stream/message.go
+++ b/cluster/stream/message.go
@@ -8,31 +8,31 @@
 	"rowanlink/webhook/api"
 )
 
-// The errors with which a frame or a request to open is rejected, besides cluster.ErrFenced. Nothing of it was
-// accepted.
+// The errors, besides cluster.ErrFenced, with which a receiver rejects a frame or a request to open. A rejected message
+// changes nothing.
 var (
-	ErrNotOpen   = errors.New("stream: the relay has no such generation: it has to be opened again")
+	ErrNotOpen   = errors.New("stream: this generation is not open at the relay: the stream must be opened again")
 	ErrMalformed = errors.New("stream: malformed message")
 )
 
 // MessageID identifies a webhook or an announcement in the whole cluster.
 type MessageID struct {
 	_           struct{}         `cbor:",toarray"`
-	Origin      cluster.MemberID `cbor:"Owner"` // the member that accepted it, and gets its results
-	Incarnation uint64           `cbor:"Life"`  // of the origin's folder: numbers start over with it
-	Number      uint64           `cbor:"ID"`    // unique in the incarnation
+	Origin      cluster.MemberID `cbor:"Owner"` // the member that accepted the message and gets its results
+	Incarnation uint64           `cbor:"Life"`  // of the origin's folder; a new folder starts its numbers over
+	Number      uint64           `cbor:"ID"`    // unique within the incarnation
 }
 
-// Delivery identifies what gets a result of its own: one message for one subscriber.
+// Delivery identifies the delivery of one message to one subscriber. Each delivery has its own result.
 type Delivery struct {
 	_           struct{}          `cbor:",toarray"`
 	Message     MessageID         `cbor:"Name"`
 	Destination api.DestinationID `cbor:"To"`
 }
 
-// Item is a webhook, or an announcement for subscribers of one site. Its times are of the sender's clock at the
-// sender, and of the relay's at the relay. An announcement is several items if its subscribers differ in their
-// earlier attempts.
+// Item is a webhook, or an announcement for subscribers of one site. Its times are by the sender's clock at the
+// sender, and by the relay's clock at the relay. An announcement is split into several items if its subscribers
+// differ in their earlier attempts.
 type Item struct {
 	ID             MessageID
 	RequestID      string // given by the client
@@ -41,24 +41,24 @@
 	Tenant         api.TenantID
 	Token          string
 	Key            api.OrderingKey // 0 unless the event type is ordered
-	TTL            api.Micros      // when it expires
+	TTL            api.Micros      // time at which the item expires
 	Attempts       int
-	FirstAttemptAt api.Micros // the first attempt that may have run; api.Never: none
+	FirstAttemptAt api.Micros // time of the first attempt that may have run; api.Never: there was none
 	Zone           api.ZoneID // of that attempt's endpoint
 	Body           []byte
 	Destinations   []api.DestinationID
 
-	// TokenWindow is how long endpoints remember the token; 0 for event types without tokens. The relay may
-	// attempt the item only for that long after it was sent, so that attempts that its origin makes itself after
-	// that are within the window, too.
+	// TokenWindow is how long endpoints remember the token; 0 for event types without tokens. The relay may attempt the
+	// item only within this time after it was sent, and so may the origin. Then all attempts of both are within the
+	// window.
 	TokenWindow api.Micros
 }
 
-// SubscriberSeparator stands between an announcement's request id and the subscriber's number in the request id
-// of a delivery.
+// SubscriberSeparator separates the announcement's request id from the subscriber's number in the request id of a
+// delivery.
 const SubscriberSeparator = ".dest="
 
-// RequestIDFor returns the request id of the delivery to one subscriber.
+// RequestIDFor returns the request id of the delivery to a subscriber.
 func (i *Item) RequestIDFor(d api.DestinationID) string {
 	if !i.IsAnnouncement {
 		return i.RequestID
@@ -66,14 +66,16 @@
 	return i.RequestID + SubscriberSeparator + strconv.FormatUint(uint64(d), 10)
 }
 
-// Generation identifies one opening of a stream. A sender whose relay returns opens a further generation: late
-// frames of earlier ones are then rejected, so that "never received" is final.
+// Generation identifies one opening of a stream. When a relay is reachable again, the sender opens the next generation.
+// From then on the relay rejects late frames of earlier ones, so that a delivery it reports as not received in an
+// earlier generation can't arrive afterwards.
 type Generation struct {
 	_      struct{}      `cbor:",toarray"`
 	Epoch  cluster.Epoch `cbor:"Epoch"`
 	Number uint64        `cbor:"No"` // from 1 in each epoch
 }
 
+// precedes reports whether g is an earlier generation than o.
 func (g Generation) precedes(o Generation) bool {
 	return g.Epoch < o.Epoch || g.Epoch == o.Epoch && g.Number < o.Number
 }
@@ -81,15 +83,16 @@
 // Sequence numbers the frames of a generation, from 1.
 type Sequence uint64
 
-// Frame is the unit of transmission. Items refer to bodies and lists of destinations, each of which it has once.
+// Frame is the unit of transmission. Its items refer to its bodies and destination lists by index. It contains equal
+// bodies and equal lists only once.
 type Frame struct {
 	Generation          Generation  `cbor:"1,keyasint"`
 	Sequence            Sequence    `cbor:"2,keyasint"`
-	ClockOffset         api.Micros  `cbor:"3,keyasint"` // see Sender.clockOffset: all that differs in a retransmission
+	ClockOffset         api.Micros  `cbor:"3,keyasint"` // see Sender.clockOffset; only this field changes in a retransmission
 	Bodies              [][]byte    `cbor:"4,keyasint"`
 	DestinationLists    [][]byte    `cbor:"5,keyasint"` // see encodeDestinations
-	Items               []FrameItem `cbor:"6,keyasint"` // in the order in which they have to be accepted
-	ReceiverIncarnation uint64      `cbor:"7,keyasint"` // of the relay's folder: another one could accept the frame again
+	Items               []FrameItem `cbor:"6,keyasint"` // in the order in which the relay must accept them
+	ReceiverIncarnation uint64      `cbor:"7,keyasint"` // of the relay's folder; a new folder could accept the frame twice
 }
 
 // FrameItem is an Item in a Frame.
@@ -116,14 +119,14 @@
 	Sent       []Delivery `cbor:"3,keyasint"`
 }
 
-// Ack is the relay's response to a frame or a request to open, and accompanies results.
+// Ack is the relay's response to a frame or a request to open. The relay also sends it with results.
 type Ack struct {
 	Incarnation      uint64     `cbor:"1,keyasint"` // of the relay's folder
 	Generation       Generation `cbor:"2,keyasint"`
 	LastSequence     Sequence   `cbor:"3,keyasint"` // received and journalled
-	Credit           uint64     `cbor:"4,keyasint"` // deliveries that the generation may carry in all; it only rises
-	DestinationLimit int        `cbor:"5,keyasint"` // in flight to one subscriber
-	Pending          []Delivery `cbor:"6,keyasint"` // of OpenRequest.Sent: held, or with a result not yet acknowledged
+	Credit           uint64     `cbor:"4,keyasint"` // total deliveries that the generation may carry; it never falls
+	DestinationLimit int        `cbor:"5,keyasint"` // maximum deliveries in flight to one subscriber
+	Pending          []Delivery `cbor:"6,keyasint"` // of OpenRequest.Sent: pending, or with an unacknowledged result
 	ReceiverTime     api.Micros `cbor:"7,keyasint"` // by the relay's clock
 }
 
@@ -142,7 +145,7 @@
 	_          struct{}   `cbor:",toarray"`
 	Delivery   Delivery   `cbor:"Delivery"`
 	Outcome    Outcome    `cbor:"How"`
-	RetryAfter api.Micros `cbor:"RetryIn"` // of Rejected; 0: not given
+	RetryAfter api.Micros `cbor:"RetryIn"` // delay that a Rejected result asks for; 0: none
 	Attempts   int        `cbor:"Attempts"`
 	MayHaveRun bool       `cbor:"MayRun"`
 }
--- a/cluster/stream/model_faults_test.go
+++ b/cluster/stream/model_faults_test.go
@@ -8,13 +8,14 @@
 	"rowanlink/webhook/api"
 )
 
-// recordAttempt records an attempt that takes effect, at the relay or bypassing it.
+// recordAttempt records an attempt that ran, from the relay or from the origin. It fails the test if the event type's
+// semantics do not allow the attempt.
 func (m *model) recordAttempt(d Delivery, i *Item) {
 	attempts := append(m.attempts[d], m.now)
 	m.attempts[d] = attempts
 	switch t := eventTypes[i.EventType]; {
 	case t.Semantics == api.AtMostOnce && len(attempts) > 1:
-		m.Fatalf("%v took effect twice", d)
+		m.Fatalf("%v is at most once and ran twice", d)
 	case t.Semantics == api.Deduplicated && m.now >= attempts[0]+t.DedupWindow:
 		m.Fatalf("%v ran again after its token was forgotten", d)
 	}
@@ -28,7 +29,7 @@
 	return slices.IndexFunc(m.deliveries, func(o *ownedDelivery) bool { return o.delivery() == d })
 }
 
-// runRelay attempts or ends a random delivery of the relay that is the first of its key.
+// runRelay attempts or ends a random delivery at the relay, if it is the first of its ordering key there.
 func (m *model) runRelay() {
 	if len(m.relayDeliveries) == 0 {
 		return
@@ -61,7 +62,7 @@
 	m.receiver.RecordResult(e)
 }
 
-// runBypassing has the origin end a delivery that bypasses the relay.
+// runBypassing has the origin attempt or dead-letter one of the deliveries that bypass the relay.
 func (m *model) runBypassing() {
 	for _, o := range m.deliveries {
 		if m.open[o.delivery()] != o || !o.bypassing || rapid.Bool().Draw(m.T, "another") {
@@ -85,13 +86,13 @@
 	}
 }
 
-// isTokenForgotten reports whether endpoints may have forgotten the token of an earlier attempt.
+// isTokenForgotten reports whether endpoints may have forgotten the token of the first attempt.
 func (o *ownedDelivery) isTokenForgotten(now api.Micros) bool {
 	wasAttempted := o.TokenWindow > 0 && o.FirstAttemptAt != api.Never
 	return wasAttempted && now >= o.FirstAttemptAt+o.TokenWindow
 }
 
-// advanceTime lets some time pass; queued deliveries that have expired are rejected.
+// advanceTime advances the clock by a random time and rejects the queued deliveries that have expired.
 func (m *model) advanceTime() {
 	m.now += api.Micros(rapid.IntRange(1, 4000).Draw(m.T, "ms")) * 1000
 	for _, d := range m.sender.DropExpired(m.now) {
@@ -102,7 +103,7 @@
 	}
 }
 
-// startSender restarts the origin's process from what it has on disk.
+// startSender starts the origin's sender, or restarts it with a new epoch, from the origin's journal.
 func (m *model) startSender() {
 	m.epoch++
 	m.sender = NewSender(m.epoch, 0)
@@ -120,6 +121,8 @@
 	m.takeBypassing()
 }
 
+// startRelay starts or restarts the relay from its journal. lost says that its folder was lost, and is replaced by an
+// empty one.
 func (m *model) startRelay(lost bool) {
 	if lost {
 		m.relayIncarnation++
@@ -134,7 +137,7 @@
 	m.receiver = NewReceiver(m.checkpoint, pending, m.unacknowledged)
 }
 
-// deliverOne delivers one message, which may be delivered again later.
+// deliverOne delivers one of the first four messages in flight, which may stay in flight and be delivered again.
 func (m *model) deliverOne(from *[]func()) {
 	if len(*from) == 0 {
 		return
@@ -152,7 +155,8 @@
 	m.deliverOne(&m.toOrigin)
 }
 
-// runRound is a round without faults: deliveries are sent, run, reported and acknowledged, the last message first.
+// runRound sends a frame, runs a delivery and reports results. After each step it delivers the newest message of each
+// direction, perhaps as a duplicate.
 func (m *model) runRound() {
 	for _, step := range []func(){m.sendFrame, m.runRelay, m.sendResults} {
 		step()
@@ -186,9 +190,9 @@
 	}
 	m.startRelay(false)
 	m.startSender()
-	folders := rapid.IntRange(0, 3).Draw(t, "folders lost at the most")
-	lose := func() {
-		if folders--; folders >= 0 {
+	foldersToLose := rapid.IntRange(0, 3).Draw(t, "folders lost at most")
+	loseFolder := func() {
+		if foldersToLose--; foldersToLose >= 0 {
 			m.startRelay(true)
 		}
 	}
@@ -202,37 +206,39 @@
 		m.startSender,
 		func() { m.startRelay(false) },
 		func() { m.failNextWrite = true },
-		lose,
+		loseFolder,
 		m.advanceTime,
 		m.advanceTime,
 		func() { m.loseMessage(&m.toRelay) },
 		func() { m.loseMessage(&m.toOrigin) },
 		func() { m.now += dedupWindow },
 	}
-	often := rapid.SampledFrom([]int{2, 5, 15}).Draw(t, "a fault in so many steps")
+	stepsPerFault := rapid.SampledFrom([]int{2, 5, 15}).Draw(t, "steps per fault")
 	for range rapid.IntRange(1, 200).Draw(t, "steps") {
-		of := work
-		if rapid.IntRange(1, often).Draw(t, "fault") == 1 {
-			of = faults
+		steps := work
+		if rapid.IntRange(1, stepsPerFault).Draw(t, "fault") == 1 {
+			steps = faults
 		}
-		of[rapid.IntRange(0, len(of)-1).Draw(t, "step")]()
+		steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 	}
 	m.drain()
 	for _, o := range m.deliveries {
 		if m.outcomes[o.delivery()] == 0 {
-			t.Fatalf("%v never ended: %+v", o.delivery(), o)
+			t.Fatalf("%v has no result: %+v", o.delivery(), o)
 		}
 		if m.outcomes[o.delivery()] == Rejected && len(m.attempts[o.delivery()]) > 0 {
-			t.Fatalf("%v was rejected and had run", o.delivery())
+			t.Fatalf("%v was reported as rejected, but ran", o.delivery())
 		}
 		if m.outcomes[o.delivery()] == Delivered && len(m.attempts[o.delivery()]) == 0 {
-			t.Fatalf("%v was reported as delivered and never ran", o.delivery())
+			t.Fatalf("%v was reported as delivered, but never ran", o.delivery())
 		}
 	}
 	for k, ran := range m.trace {
-		sure := slices.DeleteFunc(slices.Clone(ran), func(n int) bool { return m.deliveries[n].deadLetteredInDoubt })
-		if !slices.IsSorted(firstOccurrences(ran)) || !slices.IsSorted(reversed(firstOccurrences(reversed(sure)))) {
-			t.Fatalf("%v ran in the order %v", k, ran)
+		// The first attempts of the deliveries must be in order, and so must the last ones. A delivery that was
+		// dead-lettered in doubt is exempt from the second rule, as the relay may still have run it afterwards.
+		notInDoubt := slices.DeleteFunc(slices.Clone(ran), func(n int) bool { return m.deliveries[n].deadLetteredInDoubt })
+		if !slices.IsSorted(firstOccurrences(ran)) || !slices.IsSorted(reversed(firstOccurrences(reversed(notInDoubt)))) {
+			t.Fatalf("%v ran out of order: %v", k, ran)
 		}
 	}
 }
@@ -266,7 +272,7 @@
 	return of
 }
 
-// firstOccurrences keeps the first occurrence of each number.
+// firstOccurrences returns the numbers without repetitions, in the order of their first occurrence.
 func firstOccurrences(of []int) (all []int) {
 	for _, n := range of {
 		if !slices.Contains(all, n) {
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -10,8 +10,9 @@
 	"rowanlink/webhook/api"
 )
 
-// The model consists of one origin, which is also the sender, a relay, connections that lose, duplicate and delay
-// messages, and what both have on disk. Faults are random; the invariants are checked at every step.
+// The model is one origin, whose sender sends to one relay, with the journals of both and connections that lose, duplicate
+// and delay messages. Faults are random. The invariants on attempts and results are checked whenever one is recorded; that
+// every delivery ends, and in order, is checked at the end.
 const (
 	relayCapacity  = 6
 	relayClockLead = 7 * api.Second // how much the relay's clock is ahead
@@ -28,17 +29,17 @@
 // ownedDelivery is a delivery in its origin's journal.
 type ownedDelivery struct {
 	Item
-	number              int    // in the order of acceptance
-	relayIncarnation    uint64 // of the relay's folder that it was sent to; 0: never sent
+	number              int    // index in model.deliveries, the order of acceptance
+	relayIncarnation    uint64 // of the relay's folder that the delivery was sent to; 0: not sent
 	sentAt              api.Micros
 	bypassing           bool
-	deadLetteredInDoubt bool // dead-lettered here, though it may have run at the relay
+	deadLetteredInDoubt bool // dead-lettered by the origin, although it may have run or may still run at the relay
 }
 
 // relayDelivery is a delivery in the relay's journal.
 type relayDelivery struct {
 	Item
-	called bool
+	called bool // an attempt may have run
 }
 
 type model struct {
@@ -57,10 +58,10 @@
 	unacknowledged   []Result
 	failNextWrite    bool // the relay's next write fails
 
-	toRelay, toOrigin []func()
+	toRelay, toOrigin []func() // messages in flight; each function is the message's arrival
 
-	attempts map[Delivery][]api.Micros
-	trace    map[orderingScope][]int // the numbers of the deliveries that ran, in order
+	attempts map[Delivery][]api.Micros // times of the attempts that ran, anywhere
+	trace    map[orderingScope][]int   // numbers of the deliveries that ran, in the order of their attempts
 }
 
 func (o *ownedDelivery) delivery() Delivery {
@@ -102,7 +103,7 @@
 func (m *model) takeBypassing() {
 	for _, d := range m.sender.TakeBypassing() {
 		if o := m.open[d]; o.relayIncarnation != 0 && o.isAtMostOnce() {
-			m.Fatalf("%v bypasses the relay, was sent and may not run twice", d)
+			m.Fatalf("%v is at most once, was sent to the relay and now bypasses it", d)
 		}
 		m.open[d].bypassing = true
 	}
@@ -112,6 +113,7 @@
 	return eventTypes[o.EventType].Semantics == api.AtMostOnce
 }
 
+// recordOutcome ends a delivery at the origin. It fails the test if the delivery had ended before.
 func (m *model) recordOutcome(d Delivery, outcome Outcome) {
 	if earlier, ended := m.outcomes[d]; ended {
 		m.Fatalf("%v ended as %d and again as %d", d, earlier, outcome)
@@ -137,7 +139,7 @@
 		case ResolveRetry:
 			o.bypassing = true
 			o.FirstAttemptAt = u.SentAt
-			if o.Key == 0 || !lost { // the sender counts an ordered one as bypassing until it has its result
+			if o.Key == 0 || !lost { // a lost ordered delivery stays recorded as bypassing until it has its result
 				m.sender.Complete(u.Delivery)
 			}
 		case ResolveDeadLetter:
@@ -156,7 +158,7 @@
 	}
 }
 
-// sendFrame records the next frame and sends it.
+// sendFrame records the next frame in the origin's journal and sends it.
 func (m *model) sendFrame() {
 	f, ok := m.sender.NextFrame(m.now)
 	if !ok {
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -9,33 +9,33 @@
 	"rowanlink/webhook/api"
 )
 
-// destinationShare is the share of the free capacity that one subscriber may have: an unhealthy one gets a third of
-// it all, and any number of them leave some free (Choudhury and Hahne, Dynamic Queue Length Thresholds for
-// Shared-Memory Packet Switches, 1998).
+// destinationShare is the share of the free capacity that the pending deliveries of one subscriber may use. With 0.5, one
+// unhealthy subscriber can fill a third of the whole capacity, and any number of them leave some capacity free (Choudhury
+// and Hahne, Dynamic Queue Length Thresholds for Shared-Memory Packet Switches, 1998).
 const destinationShare = 0.5
 
-// Checkpoint is what a relay has to store in one write with what a frame brought, before it acknowledges the frame.
-// If it were stored separately, a frame could be accepted again after its deliveries had their results and were
-// forgotten.
+// Checkpoint is a relay's position in the stream. The relay must store it in one write with the items of a frame before
+// it acknowledges the frame. If it stored the checkpoint in a later write and crashed in between, it could accept the
+// frame a second time, after its deliveries had their results and were forgotten.
 type Checkpoint struct {
 	Incarnation  uint64     `cbor:"1,keyasint"` // random, generated with the folder, never 0
 	Generation   Generation `cbor:"2,keyasint"`
 	LastSequence Sequence   `cbor:"3,keyasint"`
-	Received     uint64     `cbor:"4,keyasint"` // deliveries of the generation
+	Received     uint64     `cbor:"4,keyasint"` // number of deliveries received in the generation
 }
 
 // Receiver is the relay's side of its site's stream.
 type Receiver struct {
 	checkpoint     Checkpoint
-	credit         uint64               // as granted in acks
-	deliveries     map[Delivery]*Result // nil: pending; else not acknowledged by its origin
-	pending        int
-	unacknowledged []Delivery // in the order of their results; some may have been acknowledged
-	rollback       func()     // nil: nothing to roll back
+	credit         uint64               // greatest Ack.Credit granted in the generation
+	deliveries     map[Delivery]*Result // nil: pending; else the result, which the origin has not acknowledged
+	pending        int                  // number of pending deliveries
+	unacknowledged []Delivery           // with a result that the origin has not acknowledged, in the order of the results
+	rollback       func()               // reverts the last Receive or Open; nil if there is nothing to revert
 }
 
-// NewReceiver returns a receiver with what the journal has: the pending deliveries, and the unacknowledged results in
-// order.
+// NewReceiver returns a receiver with the state from the journal: the checkpoint, the pending deliveries, and the
+// unacknowledged results in the order in which they were recorded.
 func NewReceiver(c Checkpoint, pending []Delivery, unacknowledged []Result) *Receiver {
 	r := &Receiver{checkpoint: c, deliveries: map[Delivery]*Result{}}
 	for _, d := range pending {
@@ -52,14 +52,15 @@
 // Checkpoint returns the checkpoint to store.
 func (r *Receiver) Checkpoint() Checkpoint { return r.checkpoint }
 
-// Credit returns how many further deliveries a relay accepts, in all and in flight to one subscriber.
+// Credit returns how many further deliveries a relay accepts in total, and how many may be in flight to one subscriber.
+// pending and capacity are the number of pending deliveries and its limit.
 func Credit(pending, capacity int) (total, perDestination int) {
 	total = max(capacity-pending, 0)
 	return total, max(1, int(destinationShare*float64(total)))
 }
 
-// Ack returns the state of the generation; capacity is how many deliveries may be pending at once. Credit that was
-// granted is never withdrawn.
+// Ack returns an ack with the state of the generation. capacity is how many deliveries may be pending at once; if it
+// falls, credit that was granted stays granted.
 func (r *Receiver) Ack(capacity int, now api.Micros) Ack {
 	total, perDestination := Credit(r.pending, capacity)
 	r.credit = max(r.credit, r.checkpoint.Received+uint64(total))
@@ -73,13 +74,13 @@
 	}
 }
 
-// ReservedCredit returns how many deliveries the sender may still send: the relay must keep that capacity free.
+// ReservedCredit returns how many deliveries the sender may still send. The relay must keep this capacity free.
 func (r *Receiver) ReservedCredit() int { return int(r.credit - min(r.checkpoint.Received, r.credit)) }
 
-// Open begins a generation, which ends all earlier ones; the checkpoint has to be stored before the ack is sent.
-// Of the deliveries asked about, it returns those that are pending or have an unacknowledged result. The others,
-// as far as they were sent to this incarnation, were never received and never will be. That also holds with
-// cluster.ErrFenced, as a generation that is rejected has ended.
+// Open begins a generation, which ends all earlier ones. The caller must store the checkpoint before it sends the ack.
+// Of request.Sent, Open returns the deliveries that are pending or have an unacknowledged result. Those of the others
+// that were sent to this incarnation of the folder were never received and never will be. This also holds if the error
+// is cluster.ErrFenced: the relay accepts no more frames of a generation that it rejects.
 func (r *Receiver) Open(request OpenRequest) (known []Delivery, err error) {
 	r.rollback = nil
 	generation := request.Generation
@@ -99,7 +100,7 @@
 		r.checkpoint = checkpoint
 		r.credit = credit
 	}
-	if r.checkpoint.Generation != generation { // else the request is repeated
+	if r.checkpoint.Generation != generation { // if equal, the request is a duplicate or a poll for credit
 		r.checkpoint.Generation = generation
 		r.checkpoint.LastSequence = 0
 		r.checkpoint.Received = 0
@@ -108,9 +109,9 @@
 	return known, nil
 }
 
-// Receive accepts a frame. It returns the items to be journalled now, in one write with the checkpoint, with times
-// of this clock; if the write fails, call Rollback. A frame that was received before, or that is behind a gap, has no
-// effect: the ack says which is expected.
+// Receive accepts a frame. It returns the new items, with times by the relay's clock. The caller must write them to the
+// journal in one write with the checkpoint, and call Rollback if the write fails. A frame that was received before, or
+// that follows a missing one, has no effect: the sender sees from Ack.LastSequence which frame is expected.
 func (r *Receiver) Receive(f Frame) (fresh []Item, err error) {
 	r.rollback = nil
 	switch {
@@ -154,11 +155,11 @@
 	return fresh, nil
 }
 
-// addPending adds the deliveries of an item that are not known yet, and reduces the item to them: some of an
-// announcement may be here already, sent by an earlier incarnation of the sender.
+// addPending adds the unknown deliveries of an item as pending, and removes the known ones from the item. Some deliveries
+// of an announcement may be known, because a sender in an earlier incarnation of the origin sent them.
 func (r *Receiver) addPending(i *Item) (added []Delivery) {
 	destinations := i.Destinations
-	i.Destinations = nil // not truncated: items share the list
+	i.Destinations = nil // a new list: other items may share the old one's memory
 	for _, destination := range destinations {
 		d := Delivery{Message: i.ID, Destination: destination}
 		if _, known := r.deliveries[d]; known {
@@ -171,8 +172,8 @@
 	return added
 }
 
-// Rollback reverts the last Receive or Open after its write has failed. It has to be called at once, before anything
-// is sent.
+// Rollback reverts the last Receive or Open, after the write of the checkpoint has failed. It must be called before any
+// other method, so that no ack covers what was not stored.
 func (r *Receiver) Rollback() {
 	if r.rollback != nil {
 		r.rollback()
@@ -180,7 +181,8 @@
 	}
 }
 
-// RecordResult records the result of a pending delivery, which has to be stored before it is reported to the origin.
+// RecordResult records the result of a pending delivery, and ignores others. The caller must have stored the result,
+// which may be reported to the origin from now on.
 func (r *Receiver) RecordResult(result Result) {
 	if earlier, known := r.deliveries[result.Delivery]; !known || earlier != nil {
 		return
@@ -190,7 +192,7 @@
 	r.unacknowledged = append(r.unacknowledged, result.Delivery)
 }
 
-// UnacknowledgedResults returns up to limit results that an origin has not acknowledged, oldest first.
+// UnacknowledgedResults returns the results that an origin has not acknowledged, oldest first and at most limit.
 func (r *Receiver) UnacknowledgedResults(origin cluster.MemberID, limit int) (results []Result) {
 	for _, d := range r.unacknowledged {
 		result := r.deliveries[d]
@@ -201,7 +203,7 @@
 	return results
 }
 
-// OriginsAwaitingResults returns the members that have not acknowledged all their results.
+// OriginsAwaitingResults returns the origins that have not acknowledged all of their results, sorted.
 func (r *Receiver) OriginsAwaitingResults() []cluster.MemberID {
 	origins := map[cluster.MemberID]bool{}
 	for _, d := range r.unacknowledged {
@@ -210,7 +212,7 @@
 	return slices.Sorted(maps.Keys(origins))
 }
 
-// AcknowledgeResults forgets results that their origin has in its own journal.
+// AcknowledgeResults forgets the results of deliveries, which their origin has in its own journal.
 func (r *Receiver) AcknowledgeResults(acknowledged []Delivery) {
 	for _, d := range acknowledged {
 		if result := r.deliveries[d]; result != nil {
--- a/cluster/stream/receiver_test.go
+++ b/cluster/stream/receiver_test.go
@@ -33,7 +33,7 @@
 	_, err := r.Receive(nextFrame(t, old, latencyTarget))
 	require.NoError(t, err)
 	r.RecordResult(Result{Delivery: deliveryTo(1, 3), Outcome: Delivered})
-	s := NewSender(2, 0) // its journal does not have that these were sent
+	s := NewSender(2, 0) // the journal that it starts from does not say that the deliveries were sent
 	openStream(t, s, r, 100)
 	s.Add(newItem(1, 0, 3, 4, 5), latencyTarget, latencyTarget)
 	fresh, err := r.Receive(nextFrame(t, s, 2*latencyTarget))
--- a/cluster/stream/resolve.go
+++ b/cluster/stream/resolve.go
@@ -9,16 +9,17 @@
 const (
 	// ResolveWait: the origin waits for the relay's result.
 	ResolveWait Resolution = iota + 1
-	// ResolveRetry: the origin retries it itself, with the same token, as one that may have run since it was sent.
+	// ResolveRetry: the origin retries the delivery itself, with the same token. It treats the delivery as one that may
+	// have run at any time since it was sent.
 	ResolveRetry
-	// ResolveDeadLetter: it may have run, and nothing more can be done.
+	// ResolveDeadLetter: the origin dead-letters the delivery. It may have run, but must not be retried.
 	ResolveDeadLetter
 )
 
-// Resolve decides about a delivery that was sent at sentAt and has no result. isLost: the relay's folder no longer
-// exists, so that the delivery won't run there any more, and its result can't be found out. lastAttemptAt is until
-// when an attempt may be made. An ordered delivery is not retried while the relay may have it: it could run there
-// again after later ones of its key.
+// Resolve decides what the origin does with a delivery that was sent at sentAt and has no result. isLost says that the
+// relay's folder no longer exists: the delivery can't run there any more, and its result can't be found out. No attempt
+// may be made at lastAttemptAt or later. An ordered delivery is not retried while the relay may have it: the relay could
+// run it again after later deliveries of its key have run.
 func Resolve(i *Item, sentAt api.Micros, t api.EventType, isLost bool, lastAttemptAt, now api.Micros) Resolution {
 	firstAttemptAt := sentAt
 	if i.FirstAttemptAt != api.Never {
@@ -31,7 +32,7 @@
 	case isAtMostOnce || i.Key != 0 && !isLost:
 		return ResolveWait
 	case t.Semantics == api.Deduplicated && (t.DedupByZone || now >= firstAttemptAt+t.DedupWindow):
-		if isLost { // no zone remembers the token any more, or only an unknown one does
+		if isLost { // the token is forgotten, or remembered only in a zone that is unknown here
 			return ResolveDeadLetter
 		}
 		return ResolveWait
@@ -39,8 +40,9 @@
 	return ResolveRetry
 }
 
-// ResolveLost decides about the deliveries that were lost with a relay's folder, in their order, by resolve. An
-// ordered one is dead-lettered if a later one of its key is: it would run after that one.
+// ResolveLost decides what the origin does with deliveries that were lost with a relay's folder; lost and the result are
+// in the order of the deliveries. It calls resolve for each. In addition, an ordered delivery is dead-lettered if a later
+// one of its key is: that one may have run, and a retry would run after it.
 func ResolveLost(lost []InDoubt, resolve func(InDoubt) Resolution) []Resolution {
 	resolutions := make([]Resolution, len(lost))
 	isLaterDeadLettered := map[orderingScope]bool{}
@@ -57,13 +59,13 @@
 	return resolutions
 }
 
-// Location is where an origin has a delivery without a result.
+// Location says which side an origin has a delivery without a result on.
 type Location uint8
 
-// The locations. The zero value is that of a delivery that has its result.
+// The locations. The zero value stands for a delivery that has its result.
 const (
-	LocationRelay Location = iota + 1 // queued for the relay or sent
-	LocationLocal                     // with this dispatcher's policy, and the relay may have it, too
+	LocationRelay Location = iota + 1 // queued for the relay, or sent to it
+	LocationLocal                     // handed to the origin's own delivery policy; the relay may have it as well
 )
 
 // ResultAction is what an origin does with a result that the relay reports.
@@ -71,16 +73,16 @@
 
 // The actions.
 const (
-	IgnoreResult   ResultAction = iota + 1 // acknowledge only: the delivery has its result, or continues here
+	IgnoreResult   ResultAction = iota + 1 // only acknowledge: the delivery already has its result, or continues locally
 	FinishDelivery                         // journal the result, then acknowledge it
-	// WithdrawDelivery is FinishDelivery, and the local policy withdraws the delivery. If it may have run here
-	// according to the journal, a rejection becomes a dead letter.
+	// WithdrawDelivery does the same as FinishDelivery, and takes the delivery back from the local policy. If the journal
+	// says that the delivery may have run locally, a Rejected result becomes DeadLettered.
 	WithdrawDelivery
 )
 
-// ActionForResult decides about the result of a delivery. For one that continues locally only the relay's success is
-// final, as this dispatcher has yet to come to a result of its own; for an ordered one each result is, since later
-// ones of its key may have run at the relay.
+// ActionForResult decides what the origin does with the relay's result of a delivery. For an unordered delivery that
+// continues locally only Delivered is final: after another result of the relay the local attempts may still succeed. For
+// an ordered one every result is final, since later deliveries of its key may have run at the relay.
 func ActionForResult(r Result, at Location, isOrdered bool) ResultAction {
 	switch {
 	case at == LocationRelay:
--- a/cluster/stream/resolve_test.go
+++ b/cluster/stream/resolve_test.go
@@ -10,12 +10,12 @@
 
 func TestResolve(t *testing.T) {
 	const last, at = 100 * api.Second, api.Second
-	idempotent, once := api.EventType{}, api.EventType{Semantics: api.AtMostOnce}
-	tokened := api.EventType{Semantics: api.Deduplicated, DedupWindow: 10 * api.Second}
-	zoned := tokened
-	zoned.DedupByZone = true
-	plain, ordered, ran := newItem(1, 0, 3), newItem(1, 7, 3), newItem(1, 0, 3)
-	ran.FirstAttemptAt = 0
+	idempotent, atMostOnce := api.EventType{}, api.EventType{Semantics: api.AtMostOnce}
+	deduplicated := api.EventType{Semantics: api.Deduplicated, DedupWindow: 10 * api.Second}
+	dedupByZone := deduplicated
+	dedupByZone.DedupByZone = true
+	plain, ordered, attempted := newItem(1, 0, 3), newItem(1, 7, 3), newItem(1, 0, 3)
+	attempted.FirstAttemptAt = 0
 	for _, c := range []struct {
 		item      *Item
 		eventType api.EventType
@@ -25,16 +25,16 @@
 		reason    string
 	}{
 		{&plain, idempotent, false, 2 * at, ResolveRetry, "may run again"},
-		{&plain, idempotent, false, last, ResolveDeadLetter, "late"},
-		{&ordered, idempotent, false, 2 * at, ResolveWait, "it could run there after later ones of its key"},
-		{&ordered, idempotent, true, 2 * at, ResolveRetry, "it no longer runs there"},
-		{&plain, once, false, 2 * at, ResolveWait, "may have run"},
-		{&plain, once, true, 2 * at, ResolveDeadLetter, "its result is lost"},
-		{&plain, tokened, false, 2 * at, ResolveRetry, "inside its window"},
-		{&plain, tokened, false, 11 * at, ResolveWait, "outside"},
-		{&plain, tokened, true, 11 * at, ResolveDeadLetter, "outside, and its result is lost"},
-		{&ran, tokened, false, 10 * at, ResolveWait, "the window begins with the first attempt"},
-		{&plain, zoned, false, 2 * at, ResolveWait, "it is unknown which zone remembers it"},
+		{&plain, idempotent, false, last, ResolveDeadLetter, "too late for another attempt"},
+		{&ordered, idempotent, false, 2 * at, ResolveWait, "the relay could run it after later ones of its key"},
+		{&ordered, idempotent, true, 2 * at, ResolveRetry, "it can't run at the relay any more"},
+		{&plain, atMostOnce, false, 2 * at, ResolveWait, "may have run"},
+		{&plain, atMostOnce, true, 2 * at, ResolveDeadLetter, "may have run, and its result is lost"},
+		{&plain, deduplicated, false, 2 * at, ResolveRetry, "inside the token's window"},
+		{&plain, deduplicated, false, 11 * at, ResolveWait, "after the token's window"},
+		{&plain, deduplicated, true, 11 * at, ResolveDeadLetter, "after the token's window, and its result is lost"},
+		{&attempted, deduplicated, false, 10 * at, ResolveWait, "the window begins with the first attempt"},
+		{&plain, dedupByZone, false, 2 * at, ResolveWait, "it is unknown which zone remembers the token"},
 	} {
 		assert.Equal(t, c.want, Resolve(c.item, at, c.eventType, c.lost, last, c.now), c.reason)
 	}
--- a/cluster/stream/sender_ack.go
+++ b/cluster/stream/sender_ack.go
@@ -2,8 +2,8 @@
 
 import "rowanlink/webhook/api"
 
-// HandleAck processes an ack of the relay; old and duplicate ones do no harm. It returns false if the relay has
-// another folder than the one that was opened, so that the caller has to treat it as unreachable.
+// HandleAck processes an ack of the relay. Old and duplicate acks do no harm. It returns false if the relay's folder is
+// not the one that the stream was opened with; the caller must then call MarkUnreachable.
 func (s *Sender) HandleAck(a Ack, now api.Micros) bool {
 	if !s.opened || a.Generation != s.generation {
 		return true
@@ -34,20 +34,22 @@
 	}
 }
 
-// Retransmit is called when the connection broke or an ack showed a gap: all frames without an ack are sent again
-// unchanged. That they were sent proves nothing.
+// Retransmit makes NextFrame return all frames without an ack again, with no change but ClockOffset. The caller calls it
+// when the connection broke or an ack showed that the relay missed a frame. It is unknown which of the frames arrived.
 func (s *Sender) Retransmit() { s.nextRetransmit = 0 }
 
-// UnackedFrames returns how many frames the relay is not known to have.
+// UnackedFrames returns how many frames were sent and not acknowledged.
 func (s *Sender) UnackedFrames() int { return len(s.unacked) }
 
-// clockOffset returns how much the relay's clock is ahead at the least, as acks are older than their arrival. A
-// time shifted by it is never later at the relay than here, however slow messages are, and early by no more than
-// the fastest ack took.
+// clockOffset returns a lower bound of how far the relay's clock is ahead of the sender's. It is a lower bound because an
+// ack's ReceiverTime is older than its arrival. A time shifted by the offset therefore comes no later at the relay than
+// here, however slow messages are, and too early by at most the travel time of the fastest ack and the clocks' drift
+// since that.
 func (s *Sender) clockOffset(now api.Micros) api.Micros {
 	return s.clockLead - api.Micros(s.clockDrift*float64(now-s.leadMeasuredAt))
 }
 
+// measureClock updates the measured lead of the relay's clock, if the ack gives a greater lower bound.
 func (s *Sender) measureClock(a Ack, now api.Micros) {
 	lead := a.ReceiverTime - now
 	if s.leadMeasuredAt == api.Never || lead > s.clockOffset(now) {
--- a/cluster/stream/sender_bypass.go
+++ b/cluster/stream/sender_bypass.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// DropExpired removes queued deliveries that are past their TTL, in no particular order. They never ran.
+// DropExpired removes the queued deliveries whose TTL has passed and returns them, in no particular order. They never ran.
 func (s *Sender) DropExpired(now api.Micros) (expired []Delivery) {
 	for _, q := range s.allQueues {
 		q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
@@ -21,7 +21,8 @@
 	return expired
 }
 
-// DetachDestination records that a subscriber is no longer reached through this relay. What was sent ends there.
+// DetachDestination records that a subscriber is no longer reached through this relay. Queued deliveries bypass the relay;
+// those that were sent get their results from it.
 func (s *Sender) DetachDestination(d api.DestinationID) { s.queueFor(d).detached = true }
 
 // AttachDestination reverses DetachDestination.
@@ -31,10 +32,10 @@
 	s.markReady(q)
 }
 
-// TakeBypassing removes the queued deliveries that may bypass the relay now, in order; none was ever sent. These are
-// all while the relay is unreachable or the destination detached, and those behind one of their key that bypassed
-// it before. Those behind one that the relay may have wait until that has its result. The caller has to call
-// Complete for each of them.
+// TakeBypassing removes the queued deliveries that must bypass the relay now and returns them, in order. They were never
+// sent. The caller must attempt them itself and call Complete for each. A delivery bypasses the relay if the relay is
+// unreachable, the destination is detached, or an earlier delivery of its ordering key bypasses it. It stays queued while
+// the relay may have an earlier delivery of its key.
 func (s *Sender) TakeBypassing() (deliveries []Delivery) {
 	type taken struct {
 		Delivery
@@ -62,6 +63,7 @@
 	return deliveries
 }
 
+// mayBypass reports whether TakeBypassing takes an item of a queue.
 func (s *Sender) mayBypass(q *destinationQueue, item *queuedItem) bool {
 	counts := pathCounts{}
 	if key := item.item.Key; key != 0 {
--- a/cluster/stream/sender_open.go
+++ b/cluster/stream/sender_open.go
@@ -7,9 +7,9 @@
 	"rowanlink/webhook/api"
 )
 
-// RestoreSent adds an item that, according to the origin's journal, was sent in an earlier incarnation or epoch and
-// has no result, in the original order among what is added, before anything is opened. receiverIncarnation is that
-// of the relay's folder then.
+// RestoreSent adds an item that was sent in an earlier incarnation or epoch and has no result, according to the origin's
+// journal. Items must be restored and added in their original order, before the stream is opened. receiverIncarnation is
+// the incarnation of the relay's folder that the item was sent to.
 func (s *Sender) RestoreSent(i Item, receiverIncarnation uint64, sentAt api.Micros) {
 	item := s.newQueuedItem(i, 0)
 	for _, destination := range i.Destinations {
@@ -21,7 +21,8 @@
 	}
 }
 
-// RestoreBypassing adds an item that bypassed the relay in an earlier incarnation and has no result, as RestoreSent.
+// RestoreBypassing adds an item that bypassed the relay in an earlier incarnation and has no result. The rules of
+// RestoreSent apply. An unordered item needs no record: no other delivery has to stay behind it.
 func (s *Sender) RestoreBypassing(i Item) {
 	item := s.newQueuedItem(i, 0)
 	if i.Key == 0 {
@@ -32,8 +33,8 @@
 	}
 }
 
-// OpenRequest returns the request to open the generation, to be sent first and repeated until HandleOpened. While
-// the stream is open it can be sent to ask for the relay's credit.
+// OpenRequest returns the request to open the generation. The caller sends it before any frame, and repeats it until
+// HandleOpened has processed an ack. While the stream is open, the request can be sent to poll for the relay's credit.
 func (s *Sender) OpenRequest() OpenRequest {
 	request := OpenRequest{Generation: s.generation}
 	if !s.opened {
@@ -42,7 +43,7 @@
 	return request
 }
 
-// sentDeliveries returns the deliveries that the relay may have, in the order of their items.
+// sentDeliveries returns the deliveries that the relay may have, in the order in which their items were added.
 func (s *Sender) sentDeliveries() (deliveries []Delivery) {
 	for d, record := range s.sent {
 		if !record.bypassing {
@@ -55,10 +56,15 @@
 	return deliveries
 }
 
-// HandleOpened processes the ack of a request to open. requeued were never received and never will be: they are
-// queued again at their place. lost were sent to a folder that no longer exists, so that their state can't be found
-// out: ResolveLost decides, and the sender forgets them. fenced: the relay has seen a later epoch; the result is the
-// same, and everything else goes to the lease's holder.
+// HandleOpened processes the ack of a request to open. It returns two kinds of the deliveries sent before:
+//   - requeued: the relay never received them and never will. They are queued again, before the others of their
+//     destination.
+//   - lost: they were sent to a folder of the relay that no longer exists, so that their state can't be found out. The
+//     sender forgets them, and the caller decides with ResolveLost.
+//
+// fenced says that the relay rejected the request because it has seen a later epoch. The returned deliveries are the
+// same, but the stream is not opened: the sender of the later epoch holds the lease, and queued deliveries bypass the
+// relay.
 func (s *Sender) HandleOpened(
 	request OpenRequest, a Ack, fenced bool, now api.Micros,
 ) (requeued []Delivery, lost []InDoubt) {
@@ -77,14 +83,15 @@
 	s.credit = a.Credit
 	s.destinationLimit = max(a.DestinationLimit, 1)
 	if s.unreachable {
-		s.window = max(1, int(restartShare*float64(s.credit)))
+		s.window = max(1, int(slowStartShare*float64(s.credit)))
 	}
 	s.unreachable = false
 	s.markAllReady()
 	return requeued, lost
 }
 
-// reconcileSent compares the deliveries sent with those that the relay has.
+// reconcileSent compares the deliveries that were sent with those that the relay has, and returns those that it does not
+// have: see HandleOpened.
 func (s *Sender) reconcileSent(sent []Delivery, a Ack) (requeued []Delivery, lost []InDoubt) {
 	pending := make(map[Delivery]bool, len(a.Pending))
 	for _, d := range a.Pending {
@@ -100,7 +107,7 @@
 		if record.receiverIncarnation != a.Incarnation {
 			lost = append(lost, InDoubt{Delivery: d, SentAt: record.sentAt, Key: record.item.Key})
 			s.forgetSent(d, record)
-			if record.item.Key != 0 { // later ones of its key have to follow it
+			if record.item.Key != 0 { // until it has its result, later ones of its key have to bypass the relay behind it
 				s.recordSent(q, record.queuedItem, &sentDelivery{queuedItem: record.queuedItem, bypassing: true})
 			}
 			continue
@@ -115,8 +122,9 @@
 	return requeued, lost
 }
 
-// MarkUnreachable records that the relay can't be reached: nothing is sent until the stream is opened again. It
-// returns what the relay may have, for Resolve; TakeBypassing returns what was never sent.
+// MarkUnreachable records that the relay can't be reached. Nothing is sent until the stream is opened again. It returns
+// the deliveries that the relay may have, about which the caller decides with Resolve. TakeBypassing returns those that
+// were never sent.
 func (s *Sender) MarkUnreachable() (inDoubt []InDoubt) {
 	if !s.unreachable {
 		s.unreachable = true
@@ -129,6 +137,7 @@
 	return inDoubt
 }
 
+// closeGeneration ends the generation and resets its state. The next opening has a new generation.
 func (s *Sender) closeGeneration() {
 	if s.opened {
 		s.generation.Number++
--- a/cluster/stream/sender_test.go
+++ b/cluster/stream/sender_test.go
@@ -84,11 +84,11 @@
 	f := nextFrame(t, s, latencyTarget)
 	_, err := r.Receive(f)
 	require.NoError(t, err)
-	assert.Len(t, f.Items, 5, "four of subscriber 3, and the one of 4 that was added last")
+	assert.Len(t, f.Items, 5, "four for subscriber 3, and the last one, for subscriber 4")
 	r.RecordResult(Result{Delivery: deliveryTo(0, 3), Outcome: Delivered})
 	s.Complete(deliveryTo(0, 3))
 	f = nextFrame(t, s, latencyTarget)
-	assert.Equal(t, uint64(4), f.Items[0].ID.Number, "its own stay in order")
+	assert.Equal(t, uint64(4), f.Items[0].ID.Number, "subscriber 3's deliveries stay in order")
 }
 
 func TestSender_RetransmitsUnackedFrames(t *testing.T) {
@@ -99,7 +99,7 @@
 	f := nextFrame(t, s, 3*latencyTarget)
 	fresh, err := r.Receive(f)
 	require.NoError(t, err)
-	assert.Empty(t, fresh, "behind a gap")
+	assert.Empty(t, fresh, "the frame before this one is missing")
 	s.HandleAck(r.Ack(100, 0), 0)
 	s.Retransmit()
 	f = nextFrame(t, s, 4*latencyTarget)
@@ -110,7 +110,7 @@
 func TestSender_KeyReturnsToStreamAfterBypass(t *testing.T) {
 	s, r := newOpenStream(t, 100)
 	s.MarkUnreachable()
-	for range 2 { // its origin had listed it before it learned of the first time
+	for range 2 { // the origin adds the delivery again before it learns that it bypassed the relay
 		s.Add(newItem(1, 5, 3), latencyTarget, 0)
 		require.Len(t, s.TakeBypassing(), 1)
 	}
@@ -141,7 +141,7 @@
 		}
 		assert.LessOrEqual(t, len(f.Items), most)
 	}
-	assert.Greater(t, completed, uint64(50), "but it grows")
+	assert.Greater(t, completed, uint64(50), "the window grows")
 }
 
 func TestSender_PollsFullRelayForCredit(t *testing.T) {
@@ -166,7 +166,7 @@
 	s.Add(newItem(2, 7, 3), latencyTarget, latencyTarget)
 	s.Add(newItem(3, 0, 3), latencyTarget, latencyTarget)
 	s.DetachDestination(3)
-	assert.Equal(t, []Delivery{deliveryTo(3, 3)}, s.TakeBypassing(), "2 is behind 1, which ends at the relay")
+	assert.Equal(t, []Delivery{deliveryTo(3, 3)}, s.TakeBypassing(), "2 waits for 1, which the relay may have")
 	s.Complete(deliveryTo(1, 3))
 	assert.Equal(t, []Delivery{deliveryTo(2, 3)}, s.TakeBypassing())
 	s.AttachDestination(3)
@@ -184,7 +184,7 @@
 	request := s.OpenRequest()
 	_, err := r.Open(request)
 	require.NoError(t, err)
-	s.HandleOpened(request, r.Ack(100, ahead), false, slow) // sent at 0 by the sender's clock
+	s.HandleOpened(request, r.Ack(100, ahead), false, slow) // the ack was sent at time 0 of the sender's clock
 	i := newItem(1, 0, 3)
 	i.FirstAttemptAt = 5
 	s.Add(i, latencyTarget, slow)
