--- a/cluster/stream/resolve_test.go
+++ b/cluster/stream/resolve_test.go
@@ -25,14 +25,14 @@
 		reason    string
 	}{
 		{&plain, idempotent, false, 2 * at, ResolveRetry, "may run again"},
-		{&plain, idempotent, false, last, ResolveDeadLetter, "too late for another attempt"},
+		{&plain, idempotent, false, last, ResolveDeadLetter, "late"},
 		{&ordered, idempotent, false, 2 * at, ResolveWait, "the relay could run it after later ones of its key"},
 		{&ordered, idempotent, true, 2 * at, ResolveRetry, "it can't run at the relay any more"},
 		{&plain, atMostOnce, false, 2 * at, ResolveWait, "may have run"},
 		{&plain, atMostOnce, true, 2 * at, ResolveDeadLetter, "may have run, and its result is lost"},
 		{&plain, deduplicated, false, 2 * at, ResolveRetry, "inside the token's window"},
-		{&plain, deduplicated, false, 11 * at, ResolveWait, "after the token's window"},
-		{&plain, deduplicated, true, 11 * at, ResolveDeadLetter, "after the token's window, and its result is lost"},
+		{&plain, deduplicated, false, 11 * at, ResolveWait, "outside"},
+		{&plain, deduplicated, true, 11 * at, ResolveDeadLetter, "outside, and its result is lost"},
 		{&attempted, deduplicated, false, 10 * at, ResolveWait, "the window begins with the first attempt"},
 		{&plain, dedupByZone, false, 2 * at, ResolveWait, "it is unknown which zone remembers the token"},
 	} {
