--- a/cluster/raftnode/handlers.go
+++ b/cluster/raftnode/handlers.go
@@ -106,7 +106,7 @@
 	}
 	response := transport.SessionResponse{TTL: n.sessionTTL, ErrorCode: fsm.ErrorCode(applied.err)}
 	if applied.err == nil {
-		if !applied.sessionLive { // it is the member's earlier session, which is being ended; the next request opens another
+		if !applied.sessionLive { // the session was open before and is being ended: a repeated request opens another one
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
 		}
--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// proposeExpiries proposes the end of sessions. If an entry is rejected because the lease table has a later leader epoch,
-// it has runLeadership begin a new one.
+// proposeExpiries proposes the end of sessions. If an entry is rejected because the lease table has a later leader epoch
+// than this leader, it makes runLeadership begin a new leader epoch.
 func (n *Node) proposeExpiries(expired []lease.ExpiredSession) {
 	var futures []raft.ApplyFuture
 	for _, session := range expired {
--- a/cluster/raftnode/node.go
+++ b/cluster/raftnode/node.go
@@ -167,7 +167,8 @@
 	return config
 }
 
-// SetAddresses replaces the raft addresses of all nodes. Their keys are the new members of the raft group.
+// SetAddresses replaces the raft addresses of all nodes. The members in addresses become the configured members: the
+// leader adds and removes raft servers accordingly.
 func (n *Node) SetAddresses(addresses map[cluster.MemberID]string) {
 	n.setMembers(addresses)
 	n.transport.CloseStreams() // a pooled connection may lead to the former node at an address
@@ -183,14 +184,14 @@
 // Close transfers the leadership if the node is the leader, writes a snapshot, and stops the node. Each of the three
 // steps may take a third of the session TTL, so that Close takes no longer than one TTL.
 func (n *Node) Close() error {
-	third := (n.sessionTTL / 3).Duration()
+	stepTimeout := (n.sessionTTL / 3).Duration()
 	if n.raft.State() == raft.Leader {
-		runWithin(third, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs a failure
+		runWithin(stepTimeout, func() { _ = n.raft.LeadershipTransfer().Error() }) // raft logs a failure
 	}
 	close(n.closing)
-	runWithin(third, func() { _ = n.raft.Snapshot().Error() }) // raft logs a failure; the entries are still in the log
+	runWithin(stepTimeout, func() { _ = n.raft.Snapshot().Error() }) // raft logs a failure; the log still has the entries
 	shutdown := n.raft.Shutdown()
-	isDone := runWithin(third, func() {
+	isDone := runWithin(stepTimeout, func() {
 		_ = shutdown.Error() // always nil
 		n.background.Wait()
 	})
--- a/cluster/raftnode/state_machine.go
+++ b/cluster/raftnode/state_machine.go
@@ -13,8 +13,8 @@
 	"rowanlink/cluster/transport"
 )
 
-// entryFormat is the version of the log entries' format. It is raised by a change after which an older version of the
-// program could not apply the entries. Version 2 added placement groups: destinations that are placed together.
+// entryFormat is the version of the log entries' format. A change after which older versions of the program can't apply
+// new entries must raise it. Version 2 added placement groups: destinations that are placed together.
 const entryFormat = 2
 
 // entryHeader is stored with each entry, in raft.Log.Extensions; the command is in raft.Log.Data.
@@ -31,7 +31,7 @@
 type applyResult struct {
 	response    []byte
 	err         error
-	sessionLive bool // after OpOpenSession: the session has not expired, so that it can be used
+	sessionLive bool // after OpOpenSession: this node leads, and the session is not being ended
 }
 
 // resultOf returns the result of an entry that was applied. The type assertion can't fail: Apply returns no other type.
@@ -120,8 +120,8 @@
 	return operation
 }
 
-// trackLeases updates the session deadlines after an operation, and counts and logs the change. It returns true for
-// OpOpenSession if the session has not expired.
+// trackLeases updates the session deadlines after an operation, and counts and logs the change. See
+// applyResult.sessionLive for what it returns.
 func (n *Node) trackLeases(operation leaseOperation, response []byte) (sessionLive bool) {
 	result, err := lease.DecodeResult(response)
 	if operation.Kind == 0 || err != nil {
--- a/cluster/raftnode/storage.go
+++ b/cluster/raftnode/storage.go
@@ -89,7 +89,7 @@
 		return "", fmt.Errorf("%s can't be read: %w", file, err)
 	}
 	if _, err := os.Stat(filepath.Join(path, logFile)); err == nil {
-		return "", fmt.Errorf("%s is missing, but the log beside it is not", file)
+		return "", fmt.Errorf("%s is missing, although its folder has a log", file)
 	}
 	random := make([]byte, nameBytes)
 	_, _ = rand.Read(random) // it never returns an error
--- a/cluster/raftnode/stream_layer.go
+++ b/cluster/raftnode/stream_layer.go
@@ -88,7 +88,7 @@
 func (s *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address := s.addressOf(raft.ServerID(to))
 	if address == "" {
-		return nil, fmt.Errorf("no address of raft node %s", to)
+		return nil, fmt.Errorf("raft node %s has no configured address", to)
 	}
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(context.Background(), "tcp", address) // raft passes no context
--- a/cluster/relay/message.go
+++ b/cluster/relay/message.go
@@ -90,8 +90,7 @@
 	return statusNotStored
 }
 
-// Messenger sends a request to a member and returns the status and body of the response. *transport.Client implements it;
-// tests wrap that with faults.
+// Messenger sends a request to a member and returns the status and body of the response. *transport.Client implements it.
 type Messenger interface {
 	Call(to cluster.MemberID, path string, body []byte, timeout time.Duration) (transport.Response, error)
 }
--- a/cluster/relay/receiver.go
+++ b/cluster/relay/receiver.go
@@ -22,7 +22,7 @@
 	Persist(c stream.Checkpoint, fresh []stream.Item) error
 	// Capacity returns how many deliveries may be pending at once.
 	Capacity() int
-	// ForgetResults deletes the results of deliveries, which their origins have recorded.
+	// ForgetResults deletes the results of deliveries after their origins have recorded them.
 	ForgetResults([]stream.Delivery)
 	// DestinationStates returns the states of destinations as this dispatcher observed them. It is called without the
 	// Receiver's lock.
@@ -41,7 +41,7 @@
 
 	mu          sync.Mutex
 	state       *stream.Receiver
-	notifiers   map[cluster.MemberID]chan struct{} // of the goroutines that report results, by origin
+	notifiers   map[cluster.MemberID]chan struct{} // by origin; each wakes the goroutine that reports its results
 	closed      chan struct{}
 	running     sync.WaitGroup
 	hasFrame    atomic.Bool  // a frame of this generation came: the sender has the ack of its request to open
@@ -124,7 +124,7 @@
 	r.respond(ctx, nil, err)
 }
 
-// recordContact records the time of a request that the receiver accepted, which err == nil says.
+// recordContact records the time of the sender's request, unless the receiver rejected the request with err.
 func (r *Receiver) recordContact(err error) {
 	if err == nil {
 		r.lastContact.Store(int64(r.now()))
--- a/cluster/relay/sender_loop.go
+++ b/cluster/relay/sender_loop.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// record has the store record a frame before it is first sent. A retransmitted frame is not recorded again: some of its
-// deliveries may already have a result, after which they must not be recorded as being sent.
+// record calls RecordSending for a frame before it is first sent. A retransmitted frame must not be recorded again: some
+// of its deliveries may already have a result.
 func (s *Sender) record(f stream.Frame) error {
 	if f.Generation == s.recordedGeneration && f.Sequence <= s.recordedSequence {
 		return nil
--- a/cluster/stream/codec.go
+++ b/cluster/stream/codec.go
@@ -29,8 +29,8 @@
 // all types of this package can.
 func Encode(v any) []byte { return codec.MustMarshal(v) }
 
-// Decode decodes one message into v. For an invalid encoding and for trailing bytes, the error wraps ErrMalformed. It does
-// not check the decoded values, which Frame.Unpack and the methods of Sender and Receiver do.
+// Decode decodes one message into v. For an invalid encoding and for trailing bytes, the error wraps ErrMalformed. The
+// decoded values are checked by Frame.Unpack and by the methods of Sender and Receiver.
 func Decode(raw []byte, v any) error {
 	if err := codec.Unmarshal(raw, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
--- a/cluster/stream/message.go
+++ b/cluster/stream/message.go
@@ -66,9 +66,9 @@
 	return i.RequestID + SubscriberSeparator + strconv.FormatUint(uint64(d), 10)
 }
 
-// Generation identifies one opening of a stream. When a relay is reachable again, the sender opens the next generation.
-// From then on the relay rejects late frames of earlier ones, so that a delivery it reports as not received in an
-// earlier generation can't arrive afterwards.
+// Generation identifies one opening of a stream. When a relay is reachable again, the sender opens the next generation,
+// and the relay rejects late frames of earlier ones. So a delivery that the relay does not have at the opening can't
+// arrive any more with a frame that was sent before.
 type Generation struct {
 	_      struct{}      `cbor:",toarray"`
 	Epoch  cluster.Epoch `cbor:"Epoch"`
--- a/cluster/stream/resolve.go
+++ b/cluster/stream/resolve.go
@@ -59,7 +59,7 @@
 	return resolutions
 }
 
-// Location says which side an origin has a delivery without a result on.
+// Location says who handles a delivery without a result, according to its origin: the relay or the origin itself.
 type Location uint8
 
 // The locations. The zero value stands for a delivery that has its result.
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -19,7 +19,7 @@
 //     as well, to stay behind it.
 type Sender struct {
 	generation          Generation
-	receiverIncarnation uint64 // of the relay's folder, as of the last opening; 0: the stream was never opened
+	receiverIncarnation uint64 // incarnation of the relay's folder at the last opening; 0: the stream was never opened
 	opened              bool
 	unreachable         bool
 	lastOrder           uint64 // order of the last item added; see queuedItem.order
@@ -300,8 +300,8 @@
 }
 
 // recordSent records a delivery as sent or bypassing. It replaces an earlier record of the delivery: the origin may add a
-// delivery a second time before it learns that the first one bypassed the relay. If both were counted, the counts of
-// its ordering key would never fall to zero.
+// delivery a second time before it learns that the delivery already bypasses the relay. If both records were counted, the
+// counts of its ordering key would never fall to zero.
 func (s *Sender) recordSent(q *destinationQueue, item *queuedItem, record *sentDelivery) {
 	d := Delivery{Message: item.item.ID, Destination: q.destination}
 	if earlier := s.sent[d]; earlier != nil {
--- a/cluster/stream/sender_bypass.go
+++ b/cluster/stream/sender_bypass.go
@@ -33,9 +33,9 @@
 }
 
 // TakeBypassing removes the queued deliveries that must bypass the relay now and returns them, in order. They were never
-// sent. The caller must attempt them itself and call Complete for each. A delivery bypasses the relay if the relay is
-// unreachable, the destination is detached, or an earlier delivery of its ordering key bypasses it. It stays queued while
-// the relay may have an earlier delivery of its key.
+// sent. The caller must attempt them itself, and call Complete for each when it has its result. A delivery bypasses the
+// relay if the relay is unreachable, the destination is detached, or an earlier delivery of its ordering key bypasses the
+// relay. It stays queued while the relay may have an earlier delivery of its key.
 func (s *Sender) TakeBypassing() (deliveries []Delivery) {
 	type taken struct {
 		Delivery
--- a/cluster/transport/client.go
+++ b/cluster/transport/client.go
@@ -127,7 +127,7 @@
 	c.mu.Unlock()
 	switch {
 	case p == nil:
-		return Response{}, fmt.Errorf("%w: no address of member %s", ErrNotSent, to)
+		return Response{}, fmt.Errorf("%w: member %s has no configured address", ErrNotSent, to)
 	case len(body) > MaxMessageSize:
 		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, errMessageTooLarge)
 	case timeout <= 0:
