--- a/serving/store/compatibility_test.go
+++ b/serving/store/compatibility_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/serving/state"
 )
 
-// copyFixture copies a file that release 63a0b91 has written into a new directory, and returns the directory.
+// copyFixture copies a file that was written by release 63a0b91 into a new directory, and returns the directory.
 func copyFixture(t *testing.T, name string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -92,8 +92,8 @@
 	assert.Equal(t, want, string(document))
 }
 
-// TestCompatibility_EndpointFile reads the copy of the endpoints of release 63a0b91. That release had saved a third
-// endpoint, too, and had removed it again.
+// TestCompatibility_EndpointFile reads the endpoint store of release 63a0b91. That release had also saved a third
+// endpoint and removed it again.
 func TestCompatibility_EndpointFile(t *testing.T) {
 	log := zerolog.Nop()
 	s := OpenEndpointStore(copyFixture(t, endpointFileName), &log)
--- a/serving/store/databasefile.go
+++ b/serving/store/databasefile.go
@@ -2,19 +2,19 @@
 
 import "github.com/rs/zerolog"
 
-// closer is a pointer to an open database.
+// closer is implemented by pointers to an open database. A nil pointer stands for a closed one.
 type closer interface {
 	comparable
 	close()
 }
 
-// databaseFile is the state that the files of all stores have in common. It is owned by the goroutine that uses the
-// disk.
+// databaseFile holds what the files of Store and EndpointStore have in common. Only the goroutine of the store's actor
+// may access it.
 type databaseFile[Database closer] struct {
 	directory string
 	log       *zerolog.Logger
 	database  Database // nil before the first use and after corruption
-	closed    bool     // for good
+	closed    bool     // by closeForGood; the file isn't opened again
 }
 
 func newDatabaseFile[Database closer](directory string, log *zerolog.Logger) databaseFile[Database] {
@@ -26,7 +26,7 @@
 	return f.database != none
 }
 
-// close closes the database if it is open. It is opened again by its next use.
+// close closes the database if it is open. The next load or save opens it again.
 func (f *databaseFile[Database]) close() {
 	if !f.isOpen() {
 		return
@@ -36,7 +36,7 @@
 	f.database = none
 }
 
-// closeForGood closes the database; its next use returns errClosed.
+// closeForGood closes the database. Later loads and saves return errClosed.
 func (f *databaseFile[Database]) closeForGood() {
 	f.close()
 	f.closed = true
--- a/serving/store/endpointstore.go
+++ b/serving/store/endpointstore.go
@@ -17,8 +17,8 @@
 
 const endpointFileName = "endpoints.db"
 
-// endpointFileLayout bounds the file (16 MB), its log (256 kB) and its cache. It is separate from the replica's file so
-// that neither its writes nor its corruption affect the replica's state.
+// endpointFileLayout limits the file to 16 MB, its write-ahead log to 256 kB, and SQLite's cache. The file is separate
+// from the replica's, so that neither writing it nor its corruption affects the replica's state.
 var endpointFileLayout = fileLayout{
 	schema:          endpointSchema,
 	maxPages:        4096,
@@ -40,28 +40,28 @@
 type EndpointChanges struct {
 	Changed  []state.Endpoint
 	Removed  []string // by ID
-	Snapshot bool     // Changed is the complete list
+	Snapshot bool     // Changed is the complete list and replaces all that was saved
 }
 
-// EndpointStore keeps a copy of the table of endpoints. Of endpoints that accept no new requests it has what was
-// acknowledged; of all others it may be out of date by what has changed since the last save, and serves only to make a
-// restart faster. It is safe for concurrent use.
+// EndpointStore keeps a copy of the table of endpoints. Callers save an endpoint that accepts no new requests before
+// they acknowledge that state. The states of all other endpoints may be out of date by the changes since the last save;
+// they only make a restart faster. It is safe for concurrent use.
 type EndpointStore struct{ file *actor.Actor[endpointFile] }
 
-// endpointFile is owned by the goroutine that uses the disk.
+// endpointFile is the state of the store's actor; only the actor's goroutine may access it.
 type endpointFile struct {
 	databaseFile[*sqliteFile]
-	directorySynced bool                         // since the file was opened, so that its creation is durable
+	directorySynced bool                         // since the file was opened: the file's creation is durable
 	syncDirectory   func(directory string) error // a parameter for tests
 }
 
-// OpenEndpointStore returns a store in a directory. The disk is first used by Load or Save.
+// OpenEndpointStore returns a store that keeps its file in a directory. The first Load or Save opens the file.
 func OpenEndpointStore(directory string, log *zerolog.Logger) *EndpointStore {
 	file := &endpointFile{databaseFile: newDatabaseFile[*sqliteFile](directory, log), syncDirectory: syncDirectory}
 	return &EndpointStore{file: actor.Start(file)}
 }
 
-// Close closes the file, without waiting for the disk.
+// Close has the file closed in the background and doesn't wait for the disk.
 func (s *EndpointStore) Close() {
 	s.file.Send(func(f *endpointFile) {
 		f.closeForGood()
@@ -69,8 +69,8 @@
 	})
 }
 
-// Load returns the saved endpoints. Unreadable rows are left out, and a corrupt file is removed. Errors are those of
-// the disk.
+// Load returns the saved endpoints. It skips unreadable rows, and removes a corrupt file. The errors that it returns
+// are those of the disk.
 func (s *EndpointStore) Load() ([]state.Endpoint, error) {
 	type result struct {
 		endpoints []state.Endpoint
@@ -86,8 +86,8 @@
 	return loaded.endpoints, loaded.err
 }
 
-// Save returns once the changes would survive a power failure. After an error it is unknown what is saved: the next
-// changes have to be a snapshot.
+// Save returns once the changes are synced, so that they survive a power failure. After an error it is unknown what was
+// saved, and the caller has to save a snapshot next.
 func (s *EndpointStore) Save(changes EndpointChanges) error {
 	err, ok := actor.Call(s.file, func(f *endpointFile) error { return f.save(changes) })
 	if !ok {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// load reads the endpoints, and removes a corrupt file.
+// load reads the endpoints. It removes the file if it is corrupt.
 func (f *endpointFile) load() ([]state.Endpoint, error) {
 	endpoints, err := f.read()
 	if !isCorruption(err) {
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read endpoints from store")
 	}
-	defer func() { _ = rows.Close() }() // rows.Err has the error of reading
+	defer func() { _ = rows.Close() }() // rows.Err returns errors of reading
 	for rows.Next() {
 		var body []byte
 		var checksum int64
@@ -128,7 +128,7 @@
 	return endpoints, errors.Wrap(rows.Err(), "read endpoints from store")
 }
 
-// save writes the changes in one transaction, and removes a corrupt file.
+// save writes the changes in one transaction. It removes the file if it is corrupt, and returns the error.
 func (f *endpointFile) save(changes EndpointChanges) error {
 	if err := f.open(); err != nil {
 		if isCorruption(err) {
@@ -166,7 +166,8 @@
 	return nil
 }
 
-// open opens the file unless it is open, and makes its creation durable. After an error the next call tries again.
+// open opens the file unless it is already open, and syncs the directory once, so that the file's creation is durable.
+// After an error the next call tries again.
 func (f *endpointFile) open() error {
 	if f.closed {
 		return errClosed
@@ -189,14 +190,15 @@
 	return nil
 }
 
-// remove deletes a corrupt file. What only it had counts as lost with the disk; other members have copies.
+// remove deletes a corrupt file and its write-ahead log. This has the same effect as the loss of the disk; other
+// members have copies of the endpoints.
 func (f *endpointFile) remove(cause error) error {
 	event.EndpointStoreRemoved.Log(f.log).Err(cause).Send()
 	f.close()
 	path := filepath.Join(f.directory, endpointFileName)
 	for _, name := range []string{path, path + logSuffix} {
 		if err := os.Remove(name); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return errors.Wrap(err, "remove damaged endpoints")
+			return errors.Wrap(err, "remove corrupt endpoint store")
 		}
 	}
 	return nil
--- a/serving/store/endpointstore_test.go
+++ b/serving/store/endpointstore_test.go
@@ -52,7 +52,7 @@
 		Changed:  []state.Endpoint{newEndpoint(1), newEndpoint(2)},
 	}))
 	require.NoError(t, first.Save(EndpointChanges{Changed: []state.Endpoint{newEndpoint(3)}, Removed: []string{"i-1"}}))
-	copied := t.TempDir() // as a power failure leaves the files
+	copied := t.TempDir() // copied without closing, as a power failure would leave the files
 	require.NoError(t, os.CopyFS(copied, os.DirFS(directory)))
 	second := openEndpoints(t, copied)
 	list, err := second.Load()
@@ -62,7 +62,8 @@
 	assert.Empty(t, loadEndpoints(t, second))
 }
 
-// TestEndpointStore_TruncatedFileIsReadOrRemoved truncates the file at many positions: loading and saving still work.
+// TestEndpointStore_TruncatedFileIsReadOrRemoved truncates the file at many positions and checks that loading and
+// saving still work.
 func TestEndpointStore_TruncatedFileIsReadOrRemoved(t *testing.T) {
 	directory := t.TempDir()
 	first := openEndpoints(t, directory)
@@ -105,10 +106,11 @@
 	require.NoError(t, store.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{newEndpoint(1)}}))
 	store.Close()
 	_, err = store.Load()
-	assert.Error(t, err, "closed")
+	assert.Error(t, err, "the store is closed")
 }
 
-// TestEndpointFile_SyncsItsDirectoryAgainAfterAFailure: a save may only succeed once the file's creation is durable.
+// TestEndpointFile_SyncsItsDirectoryAgainAfterAFailure checks that a save succeeds only once the directory was synced:
+// until then a power failure could undo the creation of the file.
 func TestEndpointFile_SyncsItsDirectoryAgainAfterAFailure(t *testing.T) {
 	log := zerolog.Nop()
 	file := &endpointFile{databaseFile: newDatabaseFile[*sqliteFile](t.TempDir(), &log)}
@@ -127,8 +129,8 @@
 	for range 2 {
 		require.NoError(t, file.save(EndpointChanges{Snapshot: true}))
 	}
-	assert.Equal(t, 3, synced, "once, as long as the file is open")
+	assert.Equal(t, 3, synced, "synced once while the file is open")
 	file.close()
 	require.NoError(t, file.save(EndpointChanges{Snapshot: true}))
-	assert.Equal(t, 4, synced, "after it was opened again")
+	assert.Equal(t, 4, synced, "synced again after the file was reopened")
 }
--- a/serving/store/fuzz_test.go
+++ b/serving/store/fuzz_test.go
@@ -16,7 +16,7 @@
 // fuzzRevisions is the number of states that are saved to the files of FuzzStore_CorruptedFiles.
 const fuzzRevisions = 5
 
-// writeFuzzFiles returns the contents of a store's file and of its log as a power failure leaves them.
+// writeFuzzFiles returns the contents of a store's file and of its write-ahead log as a power failure would leave them.
 func writeFuzzFiles(f *testing.F) (file, log []byte) {
 	f.Helper()
 	directory := f.TempDir()
@@ -40,9 +40,9 @@
 	return saved
 }
 
-// FuzzStore_CorruptedFiles overwrites a part of the file or of its log, or truncates it. Load must not return a state
-// that was never saved, and must not take a directory that isn't empty for a new disk, which could be of a genesis
-// voter.
+// FuzzStore_CorruptedFiles overwrites a part of the file or of its write-ahead log, or truncates it. Load must not
+// return a state that was never saved. Nor must it report a new disk where a state was saved: the replica could then
+// start as a genesis voter again and forget its votes.
 func FuzzStore_CorruptedFiles(f *testing.F) {
 	file, log := writeFuzzFiles(f)
 	f.Add(true, uint32(24), []byte{0xff}, false)
@@ -69,7 +69,7 @@
 			assert.Equal(t, newSmallState(saved.Accepted.Number-10), saved)
 		}
 		if len(corruptLog) == len(log) && inFile {
-			assert.False(t, err == nil && !found, "a file with saves is taken for a new one")
+			assert.False(t, err == nil && !found, "a file with saved states was taken for a new one")
 		}
 	})
 }
--- a/serving/store/sqlitefile.go
+++ b/serving/store/sqlitefile.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// schemaVersion is written to each file. A file with another version is taken to be corrupt.
+	// schemaVersion is stored in each file as PRAGMA user_version. A file with another version is treated as corrupt.
 	schemaVersion = 1
 	// pageSize is SQLite's page size in bytes.
 	pageSize = 4096
 )
 
-// errCorrupt marks errors for content that no completed transaction can have written.
-var errCorrupt = errors.New("store is damaged")
+// errCorrupt marks errors which show that a file's content can't be the result of committed transactions.
+var errCorrupt = errors.New("store is corrupt")
 
-// fileLayout is the schema of a file and the bounds of its size.
+// fileLayout is the schema of a file, with the limits of its size and of SQLite's cache.
 type fileLayout struct {
 	schema          string
 	maxPages        int
-	checkpointPages int // size of the write-ahead log at which it is written back
+	checkpointPages int // size of the write-ahead log that triggers a checkpoint
 	cacheKilobytes  int
 }
 
-// pragmas returns the statements that prepare a connection. The exclusive mode comes before the log is first used:
-// SQLite then keeps the log's index in its own memory instead of a shared file.
+// pragmas returns the statements that prepare a connection. The exclusive locking mode is set before the write-ahead
+// log is first used, so that SQLite keeps the log's index in heap memory instead of a shared-memory file.
 func (l fileLayout) pragmas() []string {
 	return []string{
 		"PRAGMA locking_mode = EXCLUSIVE",
@@ -43,14 +43,14 @@
 	}
 }
 
-// sqliteFile is an open file with one connection. Its statements aren't cancelled by a context: a save that has begun
-// has to have a known result.
+// sqliteFile is an open file with one connection. Statements run without a cancellable context, since it would be
+// unknown whether a cancelled save was committed.
 type sqliteFile struct {
 	pool       *sql.DB
 	connection *sql.Conn
 }
 
-// openSQLite opens or creates a file. An error for which isCorruption is true means that the file is unusable.
+// openSQLite opens or creates a file. If isCorruption is true for the returned error, the file is unusable.
 func openSQLite(path string, layout fileLayout) (*sqliteFile, error) {
 	pool, err := sql.Open("sqlite3", path)
 	if err != nil {
@@ -83,7 +83,7 @@
 	case version == 0:
 		return f.createSchema(layout.schema)
 	case version != schemaVersion:
-		return errors.Mark(errors.Newf("store has schema %d, not %d", version, schemaVersion), errCorrupt)
+		return errors.Mark(errors.Newf("store has schema version %d, want %d", version, schemaVersion), errCorrupt)
 	}
 	return f.checkIntegrity()
 }
@@ -99,7 +99,7 @@
 	return f.execute(fmt.Sprintf("BEGIN;%s PRAGMA user_version = %d; COMMIT;", schema, schemaVersion))
 }
 
-// checkIntegrity checks the structure of the whole file, which is small.
+// checkIntegrity checks the structure of the whole file. The file is small enough for this at each opening.
 func (f *sqliteFile) checkIntegrity() error {
 	var result string
 	row := f.connection.QueryRowContext(context.Background(), "PRAGMA quick_check(1)")
@@ -107,18 +107,18 @@
 		return errors.Wrap(err, "check store")
 	}
 	if result != "ok" {
-		return errors.Mark(errors.Newf("store: %s", result), errCorrupt)
+		return errors.Mark(errors.Newf("integrity check of store: %s", result), errCorrupt)
 	}
 	return nil
 }
 
 func (f *sqliteFile) execute(statement string, arguments ...any) error {
 	_, err := f.connection.ExecContext(context.Background(), statement, arguments...)
-	return errors.Wrapf(err, "store: %.30s", statement)
+	return errors.Wrapf(err, "execute in store: %.30s", statement)
 }
 
-// runTransaction runs the statements in one transaction, which SQLite syncs. After an error it may or may not have been
-// committed.
+// runTransaction runs the statements in one transaction, which SQLite syncs to the disk when it commits. After an error
+// the transaction may or may not have been committed.
 func (f *sqliteFile) runTransaction(statements func() error) error {
 	if err := f.execute("BEGIN IMMEDIATE"); err != nil {
 		return err
@@ -128,19 +128,19 @@
 		err = f.execute("COMMIT")
 	}
 	if err != nil {
-		_ = f.execute("ROLLBACK") // fails if SQLite has rolled back by itself
+		_ = f.execute("ROLLBACK") // fails if SQLite has already rolled back
 	}
 	return err
 }
 
-// close drops errors: every save was synced, and the next open completes what is left to do.
+// close ignores errors: every save was synced, and SQLite recovers the write-ahead log when the file is opened again.
 func (f *sqliteFile) close() {
 	_ = f.connection.Close()
 	_ = f.pool.Close()
 }
 
-// isCorruption reports whether an error means that the file itself is unusable, rather than that the disk is failing,
-// which may be temporary.
+// isCorruption reports whether an error means that the content of the file is unusable. Other errors are those of a
+// failing disk, which may be temporary.
 func isCorruption(err error) bool {
 	var failure sqlite3.Error
 	if errors.As(err, &failure) {
--- a/serving/store/store.go
+++ b/serving/store/store.go
@@ -1,8 +1,9 @@
 // Package store keeps the state of a replica, and a copy of the endpoints, in SQLite files in the process's directory.
 //
-// One goroutine owns each file and works through a queue; only callers that load or save wait for the disk. The files
-// are in write-ahead mode, opened exclusively (no shared memory), and each save is synced before it returns. A corrupt
-// file of the replica is quarantined: the replica then has lost its disk, and rejoins under a new ID.
+// Each file is owned by one goroutine, which executes queued calls; only callers of Load and Save wait for the disk.
+// The files use SQLite's write-ahead log and exclusive locking (no shared memory), and each save is synced before it
+// returns. A corrupt file of the replica is quarantined, which has the same effect as the loss of the disk: the replica
+// rejoins under a new ID.
 package store
 
 import (
@@ -19,13 +20,14 @@
 
 const (
 	replicaFileName = "register.db"
-	// quarantineSuffix is the suffix of a corrupt file. Only the newest one is kept: the disk is small.
+	// quarantineSuffix is appended to the name of a corrupt file. Only the newest such file is kept, since the disk is
+	// small.
 	quarantineSuffix = ".damaged"
 	// logSuffix is the suffix of SQLite's write-ahead log.
 	logSuffix = "-wal"
 )
 
-// errClosed is returned after Close.
+// errClosed is returned by Load and Save after Close.
 var errClosed = errors.New("store is closed")
 
 // Store keeps the state of a replica. It implements register.Storage and is safe for concurrent use.
@@ -35,19 +37,19 @@
 
 var _ register.Storage = (*Store)(nil)
 
-// replicaFile is owned by the goroutine that uses the disk.
+// replicaFile is the state of the store's actor; only the actor's goroutine may access it.
 type replicaFile struct {
 	databaseFile[*replicaDatabase]
 }
 
-// Open returns a store in a directory. The disk is first used by Load or Save, so that a failing disk doesn't delay the
-// start of the process.
+// Open returns a store that keeps its file in a directory. The first Load or Save opens the file, so that a failing
+// disk doesn't delay the start of the process.
 func Open(directory string, log *zerolog.Logger) *Store {
 	file := &replicaFile{newDatabaseFile[*replicaDatabase](directory, log)}
 	return &Store{file: actor.Start(file)}
 }
 
-// Close closes the file, without waiting for the disk.
+// Close has the file closed in the background and doesn't wait for the disk.
 func (s *Store) Close() {
 	s.file.Send(func(f *replicaFile) {
 		f.closeForGood()
@@ -55,8 +57,9 @@
 	})
 }
 
-// Load returns the state that was saved last, and false if there is none. It returns register.ErrStateLost, once, if
-// there was one and the file is corrupt. After other errors, which are those of the disk, another call may succeed.
+// Load returns the state that was saved last, and false if none was saved. If the file is corrupt, Load quarantines it
+// and returns register.ErrStateLost; the next call finds no state. Other errors are those of the disk, and a later call
+// may succeed.
 func (s *Store) Load() (saved register.AcceptorState, found bool, err error) {
 	type result struct {
 		state register.AcceptorState
@@ -73,7 +76,8 @@
 	return loaded.state, loaded.found, loaded.err
 }
 
-// Save returns once the state would survive a power failure. After an error it may or may not have been saved.
+// Save returns once the state is synced, so that it survives a power failure. After an error the state may or may not
+// have been saved.
 func (s *Store) Save(next register.AcceptorState) error {
 	err, ok := actor.Call(s.file, func(f *replicaFile) error { return f.save(&next) })
 	if !ok {
@@ -82,7 +86,7 @@
 	return err
 }
 
-// load reads the state, and quarantines a corrupt file.
+// load reads the state. It quarantines the file if it is corrupt.
 func (f *replicaFile) load() (register.AcceptorState, bool, error) {
 	state, found, err := f.read()
 	if !isCorruption(err) {
@@ -110,7 +114,7 @@
 	return f.database.save(next)
 }
 
-// open opens the file unless it is open.
+// open opens the file unless it is already open.
 func (f *replicaFile) open() error {
 	if f.closed {
 		return errClosed
@@ -130,19 +134,20 @@
 	return nil
 }
 
-// quarantine renames the corrupt file and removes its log. The log is removed last: the file without it could be read
-// again with an old state, and the replica would have forgotten its votes. A log that is left over without its file
-// either restores the newest state or is found to be corrupt once more.
+// quarantine renames the corrupt file and then removes its write-ahead log. The process can be killed between the two
+// steps. If the log were removed first, the next start could read an older state from the file, and the replica would
+// have forgotten its later votes. A log that is left without its file either restores the newest state or is found to
+// be corrupt again.
 func (f *replicaFile) quarantine() error {
 	path := filepath.Join(f.directory, replicaFileName)
 	if err := os.Rename(path, path+quarantineSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return errors.Wrap(err, "move damaged store aside")
+		return errors.Wrap(err, "quarantine corrupt store")
 	}
 	if err := syncDirectory(f.directory); err != nil {
 		return err
 	}
 	if err := os.Remove(path + logSuffix); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return errors.Wrap(err, "remove log of damaged store")
+		return errors.Wrap(err, "remove log of corrupt store")
 	}
 	return syncDirectory(f.directory)
 }
--- a/serving/store/store_test.go
+++ b/serving/store/store_test.go
@@ -40,8 +40,7 @@
 	return opened
 }
 
-// copyAndOpen copies the files as a kill or a power failure would leave them, without closing the store, and opens
-// them.
+// copyAndOpen copies the files of an open store, as a kill or a power failure would leave them, and opens the copy.
 func copyAndOpen(t *testing.T, directory string) *Store {
 	t.Helper()
 	copied := t.TempDir()
@@ -104,8 +103,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist, "no shared memory")
 }
 
-// TestStore_TruncatedFileIsReadOrLost truncates the file at many positions: what is loaded is a state that was saved,
-// or the state is reported lost. Saving works afterwards.
+// TestStore_TruncatedFileIsReadOrLost truncates the file at many positions. Load must return a state that was saved, or
+// report that the state is lost. Saving must work afterwards.
 func TestStore_TruncatedFileIsReadOrLost(t *testing.T) {
 	directory := t.TempDir()
 	s := openStore(t, directory)
@@ -140,7 +139,7 @@
 	return openStore(t, copied), copied
 }
 
-// TestStore_TornLogKeepsEarlierSaves checks that a torn end of the log loses only the last save.
+// TestStore_TornLogKeepsEarlierSaves checks that only the last save is lost if its part of the log is incomplete.
 func TestStore_TornLogKeepsEarlierSaves(t *testing.T) {
 	directory := t.TempDir()
 	s := openStore(t, directory)
@@ -177,7 +176,7 @@
 	assert.Error(t, err)
 	assert.Error(t, s.Save(newState(1)))
 	require.NoError(t, os.Mkdir(directory, 0o700))
-	require.NoError(t, s.Save(newState(1)), "saves once the disk does")
+	require.NoError(t, s.Save(newState(1)), "saves once the directory exists")
 }
 
 func TestStore_ClosedReturnsErrors(t *testing.T) {
