--- a/serving/loadreport/encoding_test.go
+++ b/serving/loadreport/encoding_test.go
@@ -7,8 +7,8 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms compares the encoding of the package's messages with the golden file, so that a rename in Go can't
-// change how reports of endpoints are read.
+// TestEncodedForms compares the encoded form of reports with a golden file, so that renaming a Go field can't change
+// how endpoints' reports are decoded.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.JSON,
 		report{},
--- a/serving/loadreport/filter.go
+++ b/serving/loadreport/filter.go
@@ -3,16 +3,18 @@
 import "rowanlink/serving/state"
 
 const (
-	// runningSteps and cacheSteps determine the changes that are published: those by more than one part in runningSteps
-	// of the endpoint's slots, or by more than one part in cacheSteps of its cache.
-	runningSteps = 16
-	cacheSteps   = 16
-	// republishRounds is the number of rounds after which an unchanged load is published again, since gossiped loads
-	// expire.
+	// requestsDivisor and cacheDivisor are thresholds. A load is published again if its number of requests has changed
+	// by more than 1/requestsDivisor of the endpoint's slots, or its used cache by more than 1/cacheDivisor of the
+	// cache.
+	requestsDivisor = 16
+	cacheDivisor    = 16
+	// republishRounds is the number of polling rounds after which an unchanged load is published again, since gossiped
+	// loads expire.
 	republishRounds = 8
 )
 
-// changeFilter numbers the loads under an epoch of the role and decides which of them are published. It does no I/O.
+// changeFilter decides which loads are published. It also numbers the polling rounds within an epoch of the singleton
+// role. It does no I/O.
 type changeFilter struct {
 	epoch     uint64
 	round     uint64
@@ -25,7 +27,7 @@
 	round uint64
 }
 
-// beginRound begins a round of polls under an epoch of the role. A new epoch resets the filter.
+// beginRound begins a round of polls in an epoch of the singleton role. A new epoch resets the filter.
 func (f *changeFilter) beginRound(epoch uint64) {
 	if epoch != f.epoch || f.published == nil {
 		*f = changeFilter{epoch: epoch, published: map[string]publishedLoad{}}
@@ -33,7 +35,7 @@
 	f.round++
 }
 
-// accept returns the load of a report, and whether it is to be published.
+// accept returns the load in a report, and whether it has to be published. If so, it counts as published from now on.
 func (f *changeFilter) accept(endpoint state.Endpoint, reported report) (load state.Load, changed bool) {
 	load = state.Load{
 		EndpointID:  endpoint.ID,
@@ -65,11 +67,12 @@
 	}
 }
 
-// isEquivalent reports whether two loads of an endpoint make no difference to the placement of requests.
+// isEquivalent reports whether two loads of an endpoint differ too little to affect the placement of requests.
 func isEquivalent(slots int, a, b state.Load) bool {
-	return isWithin(a.Running+a.Queued, b.Running+b.Queued, slots/runningSteps) &&
-		isWithin(a.CacheUsed, b.CacheUsed, a.CacheTotal/cacheSteps) &&
+	return isWithin(a.Running+a.Queued, b.Running+b.Queued, slots/requestsDivisor) &&
+		isWithin(a.CacheUsed, b.CacheUsed, a.CacheTotal/cacheDivisor) &&
 		a.CacheTotal == b.CacheTotal
 }
 
+// isWithin reports whether two numbers differ by at most a distance.
 func isWithin(a, b, distance int) bool { return max(a-b, b-a) <= distance }
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// pollInterval is the time between two polls. A report is some hundred milliseconds old itself.
+	// pollInterval is the time between two rounds of polls. The data in a report are some hundred milliseconds old.
 	pollInterval = 500 * time.Millisecond
 	// requestTimeout bounds one request.
 	requestTimeout = 300 * time.Millisecond
 	// maxConcurrentRequests bounds the requests in flight.
 	maxConcurrentRequests = 16
-	// idleConnTimeout is shorter than endpoints keep idle connections open.
+	// idleConnTimeout is shorter than the time for which endpoints keep idle connections open.
 	idleConnTimeout = 2 * time.Second
-	// rolePrefix is followed by the zone in the name of the singleton role.
+	// rolePrefix and the zone form the name of the singleton role.
 	rolePrefix = "loads/"
 )
 
@@ -115,16 +115,16 @@
 	return selected
 }
 
-// fetchReports requests the endpoints' reports; nil stands for no response, from which nothing follows about the load.
-// Health checks are made elsewhere.
+// fetchReports requests a report from each endpoint and returns the reports in the same order. A report is nil if the
+// request failed: a failure says nothing about the load, and health checks are done elsewhere.
 func (p *Poller) fetchReports(ctx context.Context, polled []state.Endpoint) []*report {
 	reports := make([]*report, len(polled))
-	slots := make(chan struct{}, maxConcurrentRequests)
+	semaphore := make(chan struct{}, maxConcurrentRequests)
 	var requests sync.WaitGroup
 	for i, endpoint := range polled {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		requests.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			limited, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			if fetched, err := fetchReport(limited, p.client, endpoint.Address); err == nil {
@@ -137,7 +137,7 @@
 }
 
 // publishLoad gossips a load. The role's epoch is the major part of the version, so that a former holder of the role
-// can't overrule a later one.
+// can't overwrite the loads of a later one.
 func (p *Poller) publishLoad(epoch uint64, load state.Load) {
 	value, err := cbor.Marshal(load)
 	if err != nil {
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -16,7 +16,7 @@
 	"rowanlink/serving/state"
 )
 
-// fakeGossip returns the test's assignment and records what is gossiped.
+// fakeGossip returns a fixed assignment and records the gossiped entries.
 type fakeGossip struct {
 	assignment singleton.Assignment
 	role       string
@@ -89,7 +89,8 @@
 	assert.Equal(t, []state.Endpoint{good}, selected)
 }
 
-// TestPollOnce_IgnoresFaultyResponses injects each fault in turn; a healthy endpoint is polled all the same.
+// TestPollOnce_IgnoresFaultyResponses checks for each fault of one endpoint that the load of a healthy one is
+// published.
 func TestPollOnce_IgnoresFaultyResponses(t *testing.T) {
 	faults := map[string]http.HandlerFunc{
 		"status":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
--- a/serving/loadreport/report.go
+++ b/serving/loadreport/report.go
@@ -1,5 +1,5 @@
 // Package loadreport polls the language-model endpoints of a zone for their loads and gossips those that have changed.
-// One member of each zone does it, as a singleton role.
+// In each zone one member does this: the holder of the zone's singleton role.
 package loadreport
 
 import (
@@ -16,11 +16,11 @@
 	reportPath = "/report"
 	// maxReportBytes bounds the body of a report.
 	maxReportBytes = 64 << 10
-	// maxValue is the greatest number in a report. Sums of such numbers don't overflow.
+	// maxValue is the greatest number that is accepted in a report, so that sums of such numbers don't overflow.
 	maxValue = 1 << 40
 )
 
-// report is the part that is used here of an endpoint's report on itself. Other fields are ignored.
+// report has the fields of an endpoint's report that are used here. Other fields are ignored.
 type report struct {
 	Queued     int `json:"queued"`
 	Running    int `json:"in_flight"`
--- a/serving/loadreport/report_fuzz_test.go
+++ b/serving/loadreport/report_fuzz_test.go
@@ -8,7 +8,8 @@
 	"rowanlink/serving/state"
 )
 
-// FuzzReport checks that whatever an endpoint reports, the published load has no negative numbers and can be added up.
+// FuzzReport checks for any report that parses that the load has no negative numbers and that their sum doesn't
+// overflow.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(reportBody))
 	f.Add([]byte(`{"queued":-1,"in_flight":9223372036854775807,"cache_used":9223372036854775807,"cache_total":-3}`))
