--- a/serving/introspect/encoding_test.go
+++ b/serving/introspect/encoding_test.go
@@ -7,8 +7,8 @@
 	"rowanlink/test/encodedforms"
 )
 
-// TestEncodedForms compares the encoded form of the call with a golden file: rowanctl may be of another release than
-// the process that it inspects.
+// TestEncodedForms compares the encoded form of the call with a golden file: rowanctl and the process that it inspects
+// may be of different releases.
 func TestEncodedForms(t *testing.T) {
 	encodedforms.AssertGolden(t, wireschema.CBOR, Request{}, Report{})
 }
--- a/serving/introspect/introspect.go
+++ b/serving/introspect/introspect.go
@@ -11,19 +11,19 @@
 	"rowanlink/serving/state"
 )
 
-// inspectMethod is served by agents and cores at the address for calls between the system's processes.
+// inspectMethod is served by agents and cores at their address for internal calls.
 var inspectMethod = rpc.Method[Request, Report]{Procedure: "/rowanlink.inspect.v1/Inspect"}
 
 // Request asks a process for a report.
 type Request struct {
-	// IncludeTables asks also for the members, endpoints and singleton roles.
+	// IncludeTables requests that the report includes the members, endpoints and singleton roles.
 	IncludeTables bool `cbor:"1,keyasint,omitempty"`
 }
 
-// Report is what a process knows.
+// Report describes a process and the state of the system as the process knows it.
 type Report struct {
 	Self            state.Member      `cbor:"1,keyasint"`
-	Revision        uint64            `cbor:"2,keyasint"`           // of the newest committed record; 0: none known
+	Revision        uint64            `cbor:"2,keyasint"`           // of the newest committed record; 0 if none is known
 	Version         uint64            `cbor:"3,keyasint"`           // of its configuration
 	Digest          state.Digest      `cbor:"4,keyasint"`           // of its configuration
 	Evacuated       []string          `cbor:"5,keyasint,omitempty"` // zones
@@ -33,7 +33,7 @@
 	SingletonClaims []singleton.Claim `cbor:"9,keyasint,omitempty"`
 	// Learner means that the process's replica is a learner that has caught up and may become a voter.
 	Learner bool `cbor:"10,keyasint,omitempty"`
-	// Rollouts are the newest roll-outs of the services, by the record.
+	// Rollouts are the newest roll-outs of the services, according to the record.
 	Rollouts []state.Rollout `cbor:"11,keyasint,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 	Down   bool         `cbor:"2,keyasint,omitempty"`
 }
 
-// SetRecord fills in the fields about the record. A nil record leaves them empty.
+// SetRecord fills in the fields that are taken from the record. A nil record leaves them empty.
 func (r *Report) SetRecord(record *state.Record) {
 	if record == nil {
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// Serve adds the handler of the call to the mux. It answers with the result of report.
+// Serve registers the handler of the call, which responds with the result of report.
 func Serve(mux *http.ServeMux, report func(Request) Report) {
 	inspectMethod.Serve(mux, func(_ context.Context, request *Request) (*Report, error) {
 		result := report(*request)
--- a/serving/introspect/metrics.go
+++ b/serving/introspect/metrics.go
@@ -8,7 +8,7 @@
 	"rowanlink/serving/state"
 )
 
-// endpointStates are the states of endpoints with their names in metrics.
+// endpointStates maps the states of endpoints to the values of the metric's label.
 var endpointStates = []struct {
 	state state.EndpointState
 	name  string
@@ -18,8 +18,8 @@
 	{state.EndpointDeparted, "departed"},
 }
 
-// WriteMetrics writes the figures of a report: revision and version of the record, members, endpoints and voters. The
-// report has to include the tables.
+// WriteMetrics writes a report as gauges: the record's revision and version, and the numbers of members, endpoints and
+// voters, among others. The report has to include the tables.
 func (r *Report) WriteMetrics(w io.Writer) {
 	down := uint64(0)
 	for _, member := range r.Members {
@@ -33,10 +33,10 @@
 	metrics.WriteGauge(w, "rowan_voters", uint64(len(r.Voters.Replicas)))
 	metrics.WriteGauge(w, `rowan_members{state="live"}`, uint64(len(r.Members))-down)
 	metrics.WriteGauge(w, `rowan_members{state="down"}`, down)
-	for _, each := range r.Rollouts {
-		labels := fmt.Sprintf("service=%q,target=%q", each.Service, each.Target)
-		metrics.WriteGauge(w, "rowan_rollout_state{"+labels+"}", uint64(each.State))
-		metrics.WriteGauge(w, "rowan_rollout_step{"+labels+"}", uint64(each.Step))
+	for _, rollout := range r.Rollouts {
+		labels := fmt.Sprintf("service=%q,target=%q", rollout.Service, rollout.Target)
+		metrics.WriteGauge(w, "rowan_rollout_state{"+labels+"}", uint64(rollout.State))
+		metrics.WriteGauge(w, "rowan_rollout_step{"+labels+"}", uint64(rollout.Step))
 	}
 	for _, each := range endpointStates {
 		count := uint64(0)
@@ -49,7 +49,7 @@
 	}
 }
 
-// MetricsWriter returns a writer of the figures of the report that a process makes when it is asked.
+// MetricsWriter returns a writer that obtains a new report at each call and writes it as gauges.
 func MetricsWriter(report func(Request) Report) metrics.Writer {
 	return func(w io.Writer) {
 		current := report(Request{IncludeTables: true})
--- a/serving/process/hangup_test.go
+++ b/serving/process/hangup_test.go
@@ -11,10 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hangupVariable makes the test binary the subprocess that gets the signals.
+// hangupVariable is the environment variable that makes the test binary run as the subprocess that gets the signals.
 const hangupVariable = "ROWANLINK_TEST_HANGUP"
 
-// TestMain_SurvivesHangup sends SIGHUP before another handler is registered for it, while one is, and afterwards.
+// TestMain_SurvivesHangup sends SIGHUP before another handler is registered for it, while one is registered, and after
+// it was removed.
 func TestMain_SurvivesHangup(t *testing.T) {
 	if os.Getenv(hangupVariable) != "" {
 		raiseHangups(t)
--- a/serving/process/listen.go
+++ b/serving/process/listen.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// listenRetryInterval and maxListenAttempts bound how long a starting process waits for an address that the previous
-	// process may still have open.
+	// listenRetryInterval and maxListenAttempts limit how long a starting process waits for an address on which the
+	// previous process may still be listening.
 	listenRetryInterval = 100 * time.Millisecond
 	maxListenAttempts   = 30
-	// keepAliveIdle, keepAliveInterval and keepAliveProbes end a connection whose peer has lost power or is partitioned,
-	// and so doesn't close it.
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes are the parameters of the TCP keep-alive probes. The probes
+	// end a connection whose peer has lost power or is partitioned and therefore can't close it.
 	keepAliveIdle     = 10 * time.Second
 	keepAliveInterval = 3 * time.Second
 	keepAliveProbes   = 3
 )
 
-// Listen listens on a TCP address. It retries for about three seconds, as the previous process may still have the
-// address open. Connections are plain TCP, never multipath, with keep-alive probes.
+// Listen listens on a TCP address. It retries for about three seconds, as the previous process may still be listening
+// on the address. Connections use plain TCP, never multipath, with keep-alive probes.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := newListenConfig()
 	for attempt := 1; ; attempt++ {
--- a/serving/process/process.go
+++ b/serving/process/process.go
@@ -17,11 +17,13 @@
 )
 
 const (
-	// memoryLimitFraction of the machine's limit is the soft memory limit of the Go runtime. A process over the
-	// machine's limit is killed; stacks, socket buffers and the C library need the rest.
+	// memoryLimitFraction is the fraction of the machine's memory limit (Limits.MemoryMB) that is set as the soft
+	// memory limit of the Go runtime. The rest is for stacks, socket buffers and the C library: the process is killed
+	// if it exceeds the machine's limit.
 	memoryLimitFraction = 0.7
-	// gcPercent is the growth of the heap between two garbage collections. Heaps here are a few megabytes, of which the
-	// runtime's default lets the first four fill with garbage; half of that costs next to no CPU time.
+	// gcPercent is the growth of the heap, in percent, between two garbage collections. Heaps here are a few megabytes.
+	// With the runtime's default of 100, the first collection starts only at four megabytes; half of that costs almost
+	// no CPU time.
 	gcPercent = 50
 	// gcPercentVariable is the runtime's environment variable by which an operator overrides gcPercent.
 	gcPercentVariable = "GOGC"
@@ -35,7 +37,7 @@
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// RunFunc runs a program until its context ends or it fails.
+// RunFunc runs a program until the context ends or the program fails.
 type RunFunc func(ctx context.Context, flags Flags, processSettings *settings.Process, log *zerolog.Logger) error
 
 // Main parses the flags, loads the settings and runs a program. SIGTERM and SIGINT end the program's context. Main exits
@@ -68,7 +70,7 @@
 	os.Exit(0)
 }
 
-// logTimeFormat is RFC 3339 with milliseconds, so that the steps of an incident can be put into order across processes.
+// logTimeFormat is RFC 3339 with milliseconds, so that log lines of several processes can be put in order.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func newLogger(program, levelName string) zerolog.Logger {
@@ -80,8 +82,8 @@
 	return zerolog.New(os.Stderr).Level(level).With().Timestamp().Str("program", program).Logger()
 }
 
-// ignoreHangup keeps SIGHUP, which announces a change of the settings file, from terminating the process before
-// settings.Watch handles it and afterwards.
+// ignoreHangup keeps SIGHUP from terminating the process before settings.Watch handles the signal and after it has
+// stopped doing so. Operators send SIGHUP when they have changed the settings file.
 func ignoreHangup() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
 
 // Version returns the version of the module from which the program was built.
@@ -93,8 +95,8 @@
 	return build.Main.Version
 }
 
-// LimitMemory sets the garbage collector's growth and, if the settings have a memory limit, the runtime's soft memory
-// limit.
+// LimitMemory sets the runtime's GC percentage, unless the operator has set GOGC, and its soft memory limit, if the
+// settings have a memory limit.
 func LimitMemory(limits settings.Limits) {
 	if os.Getenv(gcPercentVariable) == "" {
 		debug.SetGCPercent(gcPercent)
--- a/serving/process/serve.go
+++ b/serving/process/serve.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// ReadHeaderTimeout bounds the time that a caller takes to send the header of a request.
+// ReadHeaderTimeout limits the time that a client may take to send the header of a request.
 const ReadHeaderTimeout = 3 * time.Second
 
-// internalIdleTimeout is longer than members keep idle connections, so that the callers close them.
+// internalIdleTimeout is longer than the clients' own idle timeout, so that clients close idle connections, not
+// servers.
 const internalIdleTimeout = time.Minute
 
 // NewInternalServer returns a server for the calls between the system's processes.
@@ -23,13 +24,13 @@
 	}
 }
 
-// Serve serves on the listener, in a goroutine, until the returned server is closed. A server without a time-out for the
-// header of a request gets ReadHeaderTimeout.
+// Serve serves on the listener, in a goroutine, until the returned server is closed. If the server's ReadHeaderTimeout
+// is zero, it is set to the constant of that name.
 func Serve(listener net.Listener, server *http.Server) *http.Server {
 	if server.ReadHeaderTimeout == 0 {
 		server.ReadHeaderTimeout = ReadHeaderTimeout
 	}
-	server.ErrorLog = stdlog.New(io.Discard, "", 0) // faults of callers don't belong in the log
-	go func() { _ = server.Serve(listener) }()      // it ends with Close
+	server.ErrorLog = stdlog.New(io.Discard, "", 0) // errors caused by clients aren't logged
+	go func() { _ = server.Serve(listener) }()      // returns when the server is closed
 	return server
 }
