--- a/serving/actor/actor.go
+++ b/serving/actor/actor.go
@@ -1,10 +1,10 @@
-// Package actor implements actors: each owns a state that only its goroutine accesses, and executes commands on it one
-// after the other.
+// Package actor implements actors. An actor owns a state that only its goroutine accesses, and executes commands on the
+// state one after the other.
 package actor
 
 import "sync"
 
-// queueLength is the number of queued commands beyond which Send blocks.
+// queueLength is the number of commands that can be queued before Send blocks.
 const queueLength = 256
 
 // Actor executes commands on a state in the order in which they are sent. It is safe for concurrent use.
@@ -35,10 +35,11 @@
 	}
 }
 
-// Stop ends the actor without waiting for the present command. Queued commands are dropped.
+// Stop ends the actor without waiting for the current command. Queued commands are dropped.
 func (a *Actor[State]) Stop() { a.stopOnce.Do(func() { close(a.stopped) }) }
 
-// Send queues a command and returns without waiting for its execution. After Stop the command is dropped.
+// Send queues a command and returns without waiting for its execution. It blocks while the queue is full. After Stop
+// the command is dropped.
 func (a *Actor[State]) Send(command func(*State)) {
 	select {
 	case a.commands <- command:
@@ -46,8 +47,8 @@
 	}
 }
 
-// Call executes a command and returns its result, or false if the actor was stopped. It must not be used from within a
-// command of the same actor.
+// Call executes a command and returns its result, or false if the actor was stopped. A command must not use it on its
+// own actor, as it would wait for itself.
 func Call[State, Result any](a *Actor[State], command func(*State) Result) (result Result, ok bool) {
 	results := make(chan Result, 1)
 	a.Send(func(state *State) { results <- command(state) })
--- a/serving/metrics/metrics.go
+++ b/serving/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics publishes the figures of one process in the text format of Prometheus. Counters are kept by a library;
-// gauges are read when somebody asks, so that they cost nothing meanwhile.
+// Package metrics serves the metrics of a process in the text format of Prometheus. Package event keeps the counters.
+// Gauges are computed when they are requested, so that they cost nothing in between.
 package metrics
 
 import (
@@ -14,17 +14,17 @@
 	"rowanlink/serving/event"
 )
 
-// Path is the resource under which a process publishes its figures.
+// Path is the path of the HTTP resource that serves a process's metrics.
 const Path = "/metrics"
 
-// contentType is that of the text format.
+// contentType is the media type of Prometheus's text format.
 const contentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Writer writes figures that are read at that moment.
+// Writer writes metrics with their values at the time of the call.
 type Writer func(io.Writer)
 
-// Handler answers GET requests with the counts of the log events of this process, whether or not their level was
-// logged, and with what the writers write.
+// Handler responds to GET requests with the output of the writers and with the counts of this process's log events. The
+// counts include events below the minimum level of the log.
 func Handler(writers ...Writer) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet {
@@ -39,7 +39,7 @@
 	})
 }
 
-// writeEvents writes a counter for each kind of event that has occurred.
+// writeEvents writes a counter for each kind of log event that has occurred.
 func writeEvents(w io.Writer) {
 	for _, code := range slices.Sorted(maps.Keys(event.All())) {
 		if count := event.Count(code); count > 0 {
--- a/serving/rpc/retry_test.go
+++ b/serving/rpc/retry_test.go
@@ -20,7 +20,8 @@
 
 var measure = Method[state.Endpoint, state.Load]{Procedure: "/rowanlink.test.v1/Measure"}
 
-// breakingServer starts a server that closes each connection instead of sending the response of the given number.
+// breakingServer starts a server that closes, or resets, the connection instead of responding to request number
+// breakAt.
 func breakingServer(t *testing.T, breakAt int32, reset bool) (address string, requests *atomic.Int32) {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestCall_IsNotRetried checks that the client doesn't retry a call without a response, neither on a new connection nor
-// on a reused one: the caller decides.
+// TestCall_IsNotRetried checks that the client doesn't retry a call that gets no response, neither on a new connection
+// nor on a reused one: whether to retry is the caller's decision.
 func TestCall_IsNotRetried(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestCall_LateResponseReachesNoOtherCall checks that after a call that has timed out, the next call gets its own
-// response.
+// TestCall_LateResponseReachesNoOtherCall checks that calls after one that timed out get their own responses, not the
+// late one.
 func TestCall_LateResponseReachesNoOtherCall(t *testing.T) {
 	mux := http.NewServeMux()
 	release := make(chan struct{})
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -1,5 +1,5 @@
 // Package rpc makes and serves typed calls between the system's processes, by the Connect protocol over HTTP/1.1 with
-// messages in CBOR. It retries no call that it has begun to send.
+// messages in CBOR. A call is never retried once the client has begun to send it.
 package rpc
 
 import (
@@ -87,13 +87,13 @@
 	return response.Msg, nil
 }
 
-// IsUnimplemented reports whether a call failed because the process, of an earlier release, doesn't serve it.
+// IsUnimplemented reports whether a call failed because the called process doesn't serve it, as in an earlier release.
 func IsUnimplemented(err error) bool {
 	var failure *connect.Error
 	return errors.As(err, &failure) && failure.Code() == connect.CodeUnimplemented
 }
 
-// Serve registers the handler of the call. Its errors reach the caller with the code "unavailable".
+// Serve registers the handler of the call. The caller gets the handler's errors with the code "unavailable".
 func (m Method[Request, Response]) Serve(mux *http.ServeMux,
 	handle func(context.Context, *Request) (*Response, error)) {
 	handler := connect.NewUnaryHandler(m.Procedure,
