--- a/internal/ctxsleep/repeat.go
+++ b/internal/ctxsleep/repeat.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Repeat calls a function at each tick of an interval, until the context ends. A tick that comes while the function runs
-// is dropped, but for one.
+// Repeat calls a function at each interval until the context ends. If several ticks come while the function runs, it is
+// called only once more for all of them.
 func Repeat(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/ctxsleep/sleep.go
+++ b/internal/ctxsleep/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxsleep is time.Sleep with a context.
+// Package ctxsleep sleeps, and calls functions periodically, until a context ends.
 package ctxsleep
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Sleep sleeps for a duration. It returns false as soon as the context ends, also if it ended before the call.
+// Sleep sleeps for a duration and returns true. If the context ends first, or ended before the call, Sleep returns
+// false at once.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 || ctx.Err() != nil {
 		return ctx.Err() == nil
--- a/internal/mwcrand/source.go
+++ b/internal/mwcrand/source.go
@@ -1,5 +1,5 @@
-// Package mwcrand is the pseudo-random generator of the policies and simulations: lag-1 multiply-with-carry over 64-bit
-// words (Marsaglia, 1994). Equal seeds give equal sequences. It is not for cryptographic use.
+// Package mwcrand implements the pseudo-random generator of policies and simulations: lag-1 multiply-with-carry over
+// 64-bit words (Marsaglia, 1994). Equal seeds give equal sequences. It is not for cryptographic use.
 package mwcrand
 
 import "math/bits"
@@ -7,9 +7,10 @@
 const (
 	// multiplier is that of Vigna's MWC128.
 	multiplier = 0xffebb71d94fcdaf9
-	// carrySalt starts the carry of seeds below 2^32 away from zero.
+	// carrySalt makes the initial carry differ from zero for seeds below 2^32.
 	carrySalt = 0x9e3779b9
-	// warmupRounds are discarded at the start, so that the sequences of similar seeds differ from the first draw on.
+	// warmupRounds is the number of draws that New discards, so that the sequences of similar seeds differ from the
+	// first draw on.
 	warmupRounds = 8
 )
 
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Inspect reports, without waiting, whether the connection is open with nothing to read, and whether the other side
-// has closed or reset it.
+// Inspect reports without waiting whether the connection is quiet, that is, open with nothing to read, and whether it
+// is ended, that is, closed or reset by the peer. A connection also counts as ended if it was closed on this side or
+// its read deadline has passed. Both results are false for a connection that isn't a socket.
 func Inspect(c net.Conn) (quiet, ended bool) {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -21,47 +22,48 @@
 		return false, true
 	}
 	var n int
-	var last error
+	var peekErr error
 	if err := raw.Read(func(fd uintptr) bool {
-		n, last = peek(fd)
+		n, peekErr = peek(fd)
 		return true
 	}); err != nil {
 		return false, true
 	}
-	quiet = errors.Is(last, syscall.EAGAIN)
+	quiet = errors.Is(peekErr, syscall.EAGAIN)
 	return quiet, !quiet && n <= 0
 }
 
-// WaitReadable waits until data can be read or the other side has closed the connection, and consumes nothing. It
-// fails as a read would: if the read deadline has passed or the connection is closed on this side.
+// WaitReadable waits until data can be read or the peer has closed the connection. It consumes no data. It fails as a
+// read would if the read deadline passes or the connection is closed on this side.
 func WaitReadable(c syscall.Conn) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
 	}
 	return raw.Read(func(fd uintptr) bool {
-		_, last := peek(fd)
-		return !errors.Is(last, syscall.EAGAIN)
+		_, err := peek(fd)
+		return !errors.Is(err, syscall.EAGAIN)
 	})
 }
 
-// HasUnread reports whether data has arrived that was not read, also while another goroutine waits in a read and after
-// the read deadline.
+// HasUnread reports whether data has arrived that was not yet read. It also works while another goroutine is blocked in
+// a read, and after the read deadline.
 func HasUnread(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	n := 0
 	return err == nil && raw.Control(func(fd uintptr) { n, _ = peek(fd) }) == nil && n > 0
 }
 
-// peek reads a byte without consuming it or waiting.
+// peek reads one byte without consuming it and without waiting.
 func peek(fd uintptr) (int, error) {
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buffer [1]byte
+	n, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// HasUnacknowledged reports whether data that was sent has not been acknowledged by the other side's machine, also
-// while other goroutines read and write. Data that waits because the other side does not read doesn't count.
+// HasUnacknowledged reports whether sent data has not yet been acknowledged by the peer's TCP stack. It also works
+// while other goroutines read and write. Data that isn't sent yet, such as while the peer's receive buffer is full,
+// doesn't count.
 func HasUnacknowledged(c net.Conn) bool {
 	tcp, ok := c.(syscall.Conn)
 	if !ok {
@@ -72,12 +74,12 @@
 		return false
 	}
 	var queued, unsent int
-	var failed error
+	var ioctlErr error
 	err = raw.Control(func(fd uintptr) {
-		var first, second error
-		queued, first = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-		unsent, second = unix.IoctlGetInt(int(fd), unix.SIOCOUTQNSD)
-		failed = errors.Join(first, second)
+		var queuedErr, unsentErr error
+		queued, queuedErr = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
+		unsent, unsentErr = unix.IoctlGetInt(int(fd), unix.SIOCOUTQNSD)
+		ioctlErr = errors.Join(queuedErr, unsentErr)
 	})
-	return errors.Join(err, failed) == nil && queued > unsent
+	return errors.Join(err, ioctlErr) == nil && queued > unsent
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHasUnacknowledged: data that a peer does not read still reaches its machine, which acknowledges it.
+// TestHasUnacknowledged checks that data that the peer doesn't read counts as acknowledged once the peer's TCP stack
+// has received it.
 func TestHasUnacknowledged(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -19,7 +20,7 @@
 	assert.False(t, HasUnacknowledged(c), "nothing was sent")
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = c.Write(make([]byte, 64<<20))
-	require.Error(t, err, "more than both buffers hold")
+	require.Error(t, err, "the data exceeds the send and receive buffers")
 	assert.Eventually(t, func() bool { return !HasUnacknowledged(c) }, time.Second, time.Millisecond)
 	require.NoError(t, c.Close())
 	assert.False(t, HasUnacknowledged(c), "closed")
@@ -28,5 +29,5 @@
 		_ = one.Close()
 		_ = other.Close()
 	})
-	assert.False(t, HasUnacknowledged(one), "no socket")
+	assert.False(t, HasUnacknowledged(one), "not a socket")
 }
--- a/internal/strictcbor/codec.go
+++ b/internal/strictcbor/codec.go
@@ -1,17 +1,18 @@
-// Package strictcbor is the CBOR codec of replicated logs and of messages between members. Encoding is deterministic
-// (RFC 8949, section 4.2.1), so that a value has the same bytes on each member; decoding rejects whatever two versions
-// of a program could read differently: duplicate keys, indefinite lengths and tags.
+// Package strictcbor implements the CBOR codec of replicated logs and of messages between members. Encoding is
+// deterministic (RFC 8949, section 4.2.1), so that a value has the same bytes on each member. Decoding rejects what two
+// versions of a program could decode differently: duplicate keys, indefinite lengths and tags.
 package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
 
-// Options bound what is decoded. A zero limit stands for the library's default.
+// Options limit what can be decoded. A limit of zero stands for the library's default.
 type Options struct {
 	MaxNestedLevels  int
 	MaxArrayElements int
 	MaxMapPairs      int
-	// RejectUnknownFields makes a field that the decoding type lacks an error. Entries of a log need it: all members
-	// have to reject the same ones. Messages don't: a later version may add a field.
+	// RejectUnknownFields makes decoding fail on a field that the Go type doesn't have. It is needed for entries of a
+	// log, since all members have to reject the same entries. It is unsuitable for messages, since a later version may
+	// add a field.
 	RejectUnknownFields bool
 }
 
@@ -21,7 +22,8 @@
 	decoding cbor.DecMode
 }
 
-// New returns a codec. It panics on limits that the library doesn't support: options are constants of the program.
+// New returns a codec. It panics on limits that the library doesn't support, since options are constants of the
+// program.
 func New(options Options) *Codec {
 	encoding, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -49,7 +51,7 @@
 // Marshal returns the encoding of a value.
 func (c *Codec) Marshal(value any) ([]byte, error) { return c.encoding.Marshal(value) }
 
-// MustMarshal is Marshal for types that can always be encoded. It panics on any other.
+// MustMarshal is like Marshal, for types that can always be encoded. It panics if encoding fails.
 func (c *Codec) MustMarshal(value any) []byte {
 	encoded, err := c.Marshal(value)
 	if err != nil {
--- a/internal/strictcbor/codec_test.go
+++ b/internal/strictcbor/codec_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// message is a value with a field that an older version lacks.
+// message has a field that the older version of the type, olderMessage, lacks.
 type message struct {
 	Name  string         `cbor:"1,keyasint"`
 	Added map[string]int `cbor:"2,keyasint,omitempty"`
@@ -40,14 +40,15 @@
 	assert.Error(t, New(Options{RejectUnknownFields: true}).Unmarshal(encoded, &older))
 }
 
-// TestUnmarshal_Rejects decodes what two versions of a program could read differently, and what exceeds a limit.
+// TestUnmarshal_Rejects checks that decoding fails on what two versions of a program could decode differently, and on
+// what exceeds a limit.
 func TestUnmarshal_Rejects(t *testing.T) {
 	codec := New(Options{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 	for name, encoded := range map[string][]byte{
 		"a duplicate key":         {0xa2, 0x01, 0x61, 'a', 0x01, 0x61, 'b'},
 		"an indefinite length":    {0xbf, 0x01, 0x61, 'a', 0xff},
 		"a tag":                   {0xc1, 0xa1, 0x01, 0x61, 'a'},
-		"bytes after it":          {0xa1, 0x01, 0x61, 'a', 0x00},
+		"trailing bytes":          {0xa1, 0x01, 0x61, 'a', 0x00},
 		"nested too deeply":       {0x81, 0x81, 0x81, 0x81, 0x81, 0x80},
 		"a truncated text":        {0xa1, 0x01, 0x62, 'a'},
 		"a list that is too long": append([]byte{0x91}, make([]byte, 17)...),
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,10 +1,10 @@
-// Package timerqueue is a priority queue ordered by time. Values that are due at the same time are returned in the order
-// in which they were added, so that simulations repeat exactly.
+// Package timerqueue implements a priority queue ordered by time. Values that are due at the same time are returned in
+// the order in which they were added, so that simulations are reproducible.
 package timerqueue
 
 import "container/heap"
 
-// entry is a value with its time and its number among all that were added.
+// entry is a value with the time when it is due and a sequence number, which gives the order of addition.
 type entry[T any] struct {
 	at    int64
 	seq   uint64
@@ -22,7 +22,8 @@
 
 func (e entries[T]) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push and Pop are required by heap.Interface. Queue uses heap.Fix instead, since a value in an interface is allocated.
+// Push and Pop are required by heap.Interface but not called. Queue changes the slice itself and calls heap.Fix, since
+// passing an entry as an interface value would allocate.
 func (e *entries[T]) Push(any) {}
 func (e *entries[T]) Pop() any { return nil }
 
@@ -39,7 +40,7 @@
 	heap.Fix(&q.items, len(q.items)-1)
 }
 
-// Next returns the earliest time, and false if the queue is empty.
+// Next returns the time of the earliest value, and false if the queue is empty.
 func (q *Queue[T]) Next() (at int64, ok bool) {
 	if len(q.items) == 0 {
 		return 0, false
--- a/internal/wakeup/wakeup.go
+++ b/internal/wakeup/wakeup.go
@@ -1,7 +1,7 @@
-// Package wakeup provides a signal that wakes a loop without blocking whoever sends it.
+// Package wakeup provides a signal that wakes a loop without blocking the sender.
 package wakeup
 
-// Signal is received from by one loop. Signals sent while one is pending are merged into it.
+// Signal is a channel from which one loop receives. Signals that are sent while one is pending are merged with it.
 type Signal chan struct{}
 
 // New returns a Signal that is not pending.
--- a/internal/wireschema/wireschema.go
+++ b/internal/wireschema/wireschema.go
@@ -12,21 +12,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Format selects whose struct tags apply.
+// Format selects the encoding, and so the struct tags that apply.
 type Format int
 
-// The formats. CBOR falls back on json tags where a field has no cbor tag, as the encoder does.
+// The formats. As in the CBOR encoder, json tags apply in CBOR to fields without a cbor tag.
 const (
 	CBOR Format = iota
 	JSON
 )
 
 // Describe returns one line for each encoded field that can be reached from the values' types, in the order of
-// declaration. Types are numbered by their first appearance, so that a renamed type changes nothing.
+// declaration. Types are numbered in the order of their first appearance, so that renaming a type doesn't change the
+// description.
 func Describe(format Format, values ...any) string {
 	d := &describer{format: format, numbers: map[reflect.Type]int{}}
 	for _, value := range values {
-		d.add(reflect.TypeOf(value))
+		d.describeType(reflect.TypeOf(value))
 	}
 	for i := 0; i < len(d.queue); i++ {
 		d.describeStruct(d.queue[i])
@@ -41,28 +42,30 @@
 	out     strings.Builder
 }
 
-func (d *describer) add(t reflect.Type) string {
-	if name, ok := d.custom(t); ok {
+// describeType returns the description of a type, and queues the structs in it that aren't described yet.
+func (d *describer) describeType(t reflect.Type) string {
+	if name, ok := d.describeCustom(t); ok {
 		return name
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return "*" + d.add(t.Elem())
+		return "*" + d.describeType(t.Elem())
 	case reflect.Slice:
-		return "[]" + d.add(t.Elem())
+		return "[]" + d.describeType(t.Elem())
 	case reflect.Array:
-		return fmt.Sprintf("[%d]%s", t.Len(), d.add(t.Elem()))
+		return fmt.Sprintf("[%d]%s", t.Len(), d.describeType(t.Elem()))
 	case reflect.Map:
-		return "map[" + d.add(t.Key()) + "]" + d.add(t.Elem())
+		return "map[" + d.describeType(t.Key()) + "]" + d.describeType(t.Elem())
 	case reflect.Struct:
-		return d.number(t)
+		return d.structNumber(t)
 	default:
 		return t.Kind().String()
 	}
 }
 
-// custom names types that encode themselves: what they write is theirs to test.
-func (d *describer) custom(t reflect.Type) (string, bool) {
+// describeCustom describes types with their own encoding methods. It returns false for all others. What the methods
+// write isn't described: the tests of those types have to cover it.
+func (d *describer) describeCustom(t reflect.Type) (string, bool) {
 	pointer := t
 	if t.Kind() != reflect.Pointer {
 		pointer = reflect.PointerTo(t)
@@ -82,7 +85,8 @@
 	return "", false
 }
 
-func (d *describer) number(t reflect.Type) string {
+// structNumber returns the number of a struct as text. It numbers and queues a struct that is new.
+func (d *describer) structNumber(t reflect.Type) string {
 	n, known := d.numbers[t]
 	if !known {
 		n = len(d.numbers)
@@ -97,10 +101,12 @@
 	d.describeFields(t)
 }
 
+// describeFields writes one line for each encoded field. The fields of an embedded struct without a tag are encoded as
+// those of the outer struct.
 func (d *describer) describeFields(t reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
-		tag, tagged := d.tag(field)
+		tag, tagged := d.encodingTag(field)
 		if field.Name == "_" {
 			if tagged {
 				fmt.Fprintf(&d.out, "\t_ %q\n", tag)
@@ -121,7 +127,7 @@
 		if name == "" {
 			name = field.Name
 		}
-		line := "\t" + name + " " + d.add(field.Type)
+		line := "\t" + name + " " + d.describeType(field.Type)
 		if options != "" {
 			line += " " + options
 		}
@@ -129,7 +135,8 @@
 	}
 }
 
-func (d *describer) tag(field reflect.StructField) (string, bool) {
+// encodingTag returns the struct tag that applies to a field, and false if there is none.
+func (d *describer) encodingTag(field reflect.StructField) (string, bool) {
 	if d.format == CBOR {
 		if tag, ok := field.Tag.Lookup("cbor"); ok {
 			return tag, true
