--- a/serving/introspect/introspect.go
+++ b/serving/introspect/introspect.go
@@ -11,7 +11,8 @@
 	"rowanlink/serving/state"
 )
 
-// inspectMethod is served by agents and cores at their address for internal calls.
+// inspectMethod is served by agents and cores at their internal address, which is for calls between the system's
+// processes.
 var inspectMethod = rpc.Method[Request, Report]{Procedure: "/rowanlink.inspect.v1/Inspect"}
 
 // Request asks a process for a report.
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -16,13 +16,15 @@
 )
 
 const (
-	// pollInterval is the time between two rounds of polls. The data in a report are some hundred milliseconds old.
+	// pollInterval is the time between two rounds of polls. Polling more often would gain little, since the data in a
+	// report are some hundred milliseconds old.
 	pollInterval = 500 * time.Millisecond
-	// requestTimeout bounds one request.
+	// requestTimeout limits the duration of one request.
 	requestTimeout = 300 * time.Millisecond
-	// maxConcurrentRequests bounds the requests in flight.
+	// maxConcurrentRequests limits the number of requests in flight.
 	maxConcurrentRequests = 16
-	// idleConnTimeout is shorter than the time for which endpoints keep idle connections open.
+	// idleConnTimeout is shorter than the time for which endpoints keep idle connections open, so that no request is
+	// sent on a connection that the endpoint is closing.
 	idleConnTimeout = 2 * time.Second
 	// rolePrefix and the zone form the name of the singleton role.
 	rolePrefix = "loads/"
--- a/serving/loadreport/poller_test.go
+++ b/serving/loadreport/poller_test.go
@@ -49,19 +49,19 @@
 	_, _ = w.Write([]byte(reportBody))
 }
 
-func newPoller(members *fakeGossip, all ...state.Endpoint) *Poller {
+func newPoller(fake *fakeGossip, all ...state.Endpoint) *Poller {
 	log := zerolog.Nop()
-	return New(Options{Zone: "n1", Gossip: members, Log: &log, Endpoints: func() []state.Endpoint { return all }})
+	return New(Options{Zone: "n1", Gossip: fake, Log: &log, Endpoints: func() []state.Endpoint { return all }})
 }
 
 func TestPollOnce_HolderPublishesLoads(t *testing.T) {
-	members := &fakeGossip{assignment: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
+	fake := &fakeGossip{assignment: singleton.Assignment{Holder: "a", Epoch: 7, Local: true}}
 	endpoint := startEndpoint(t, serveReport)
-	newPoller(members, endpoint).pollOnce(t.Context())
-	assert.Equal(t, "loads/n1", members.role)
-	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, members.scope)
-	require.Len(t, members.entries, 1)
-	entry := members.entries[0]
+	newPoller(fake, endpoint).pollOnce(t.Context())
+	assert.Equal(t, "loads/n1", fake.role)
+	assert.Equal(t, singleton.Scope{Role: state.RoleAgent, Zone: "n1"}, fake.scope)
+	require.Len(t, fake.entries, 1)
+	entry := fake.entries[0]
 	assert.Equal(t, gossip.NewVersion(7, 1), entry.Version)
 	var load state.Load
 	require.NoError(t, cbor.Unmarshal(entry.Value, &load))
@@ -71,21 +71,21 @@
 
 func TestPollOnce_MembersWithoutRoleDoNotPoll(t *testing.T) {
 	calls := 0
-	members := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
+	fake := &fakeGossip{assignment: singleton.Assignment{Holder: "b", Epoch: 7}}
 	endpoint := startEndpoint(t, func(http.ResponseWriter, *http.Request) { calls++ })
-	newPoller(members, endpoint).pollOnce(t.Context())
+	newPoller(fake, endpoint).pollOnce(t.Context())
 	assert.Zero(t, calls)
 }
 
 func TestSelectEndpoints_AcceptingModelsOfTheZone(t *testing.T) {
-	members := &fakeGossip{}
+	fake := &fakeGossip{}
 	good := state.Endpoint{ID: "good", Zone: "n1", Models: []state.Model{{Name: "m"}}}
 	otherZone, withoutModel, draining, unresponsive := good, good, good, good
 	otherZone.Zone = "n2"
 	withoutModel.Models = nil
 	draining.State = state.EndpointDraining
 	unresponsive.Unresponsive = true
-	selected := newPoller(members, otherZone, withoutModel, good, draining, unresponsive).selectEndpoints()
+	selected := newPoller(fake, otherZone, withoutModel, good, draining, unresponsive).selectEndpoints()
 	assert.Equal(t, []state.Endpoint{good}, selected)
 }
 
@@ -99,11 +99,11 @@
 		"too long": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, maxReportBytes+1)) },
 	}
 	for name, fault := range faults {
-		members := &fakeGossip{assignment: singleton.Assignment{Epoch: 7, Local: true}}
+		fake := &fakeGossip{assignment: singleton.Assignment{Epoch: 7, Local: true}}
 		good := startEndpoint(t, serveReport)
-		newPoller(members, startEndpoint(t, fault), good).pollOnce(t.Context())
-		require.Len(t, members.entries, 1, name)
-		assert.Equal(t, good.ID, members.entries[0].Key, name)
+		newPoller(fake, startEndpoint(t, fault), good).pollOnce(t.Context())
+		require.Len(t, fake.entries, 1, name)
+		assert.Equal(t, good.ID, fake.entries[0].Key, name)
 	}
 }
 
@@ -117,18 +117,18 @@
 	}
 	base := report{Running: 12, CacheUsed: 41000, CacheTotal: 90000}
 	assert.True(t, publishes(base))
-	small, much := base, base
-	small.Running, much.Running = 14, 30
+	small, large := base, base
+	small.Running, large.Running = 14, 30
 	assert.False(t, publishes(small))
-	assert.True(t, publishes(much))
+	assert.True(t, publishes(large))
 	for range republishRounds - 1 {
-		assert.False(t, publishes(much))
+		assert.False(t, publishes(large))
 	}
-	assert.True(t, publishes(much), "published again before it expires")
+	assert.True(t, publishes(large), "published again before it expires")
 	filter.retain(nil)
-	assert.True(t, publishes(much), "an endpoint that had been removed")
+	assert.True(t, publishes(large), "an endpoint that had been removed")
 	filter.beginRound(8)
-	_, published := filter.accept(endpoint, much)
+	_, published := filter.accept(endpoint, large)
 	assert.True(t, published, "a new epoch resets the filter")
 	assert.Equal(t, uint64(1), filter.round)
 }
--- a/serving/loadreport/report.go
+++ b/serving/loadreport/report.go
@@ -14,7 +14,7 @@
 const (
 	// reportPath is the path of an endpoint's report on itself.
 	reportPath = "/report"
-	// maxReportBytes bounds the body of a report.
+	// maxReportBytes limits the body of a report. Longer bodies are truncated, so that parsing them fails in general.
 	maxReportBytes = 64 << 10
 	// maxValue is the greatest number that is accepted in a report, so that sums of such numbers don't overflow.
 	maxValue = 1 << 40
--- a/serving/loadreport/report_fuzz_test.go
+++ b/serving/loadreport/report_fuzz_test.go
@@ -8,7 +8,7 @@
 	"rowanlink/serving/state"
 )
 
-// FuzzReport checks for any report that parses that the load has no negative numbers and that their sum doesn't
+// FuzzReport checks that for each report that can be parsed, the load's numbers aren't negative and their sum doesn't
 // overflow.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(reportBody))
--- a/serving/process/process.go
+++ b/serving/process/process.go
@@ -70,7 +70,8 @@
 	os.Exit(0)
 }
 
-// logTimeFormat is RFC 3339 with milliseconds, so that log lines of several processes can be put in order.
+// logTimeFormat is RFC 3339 with milliseconds, so that the log lines of several processes can be put in order when an
+// incident is analysed.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func newLogger(program, levelName string) zerolog.Logger {
--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -36,7 +36,7 @@
 // Client calls other processes over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
-	methods *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
+	clients *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
 }
 
 // NewClient returns a client with its own connection pool.
@@ -50,7 +50,7 @@
 	}
 	return &Client{
 		http:    &http.Client{Transport: transport},
-		methods: xsync.NewMap[string, any](),
+		clients: xsync.NewMap[string, any](),
 	}
 }
 
@@ -67,18 +67,19 @@
 	return errors.CombineErrors(err, optionErr)
 }
 
-// Method is the type of a call. Procedure is its path, such as "/rowanlink.register.v1/Prepare".
+// Method describes a call by the types of its messages and by its path. Procedure is the path, such as
+// "/rowanlink.register.v1/Prepare".
 type Method[Request, Response any] struct{ Procedure string }
 
 // Call calls the process at host:port. The context bounds the call.
 func (m Method[Request, Response]) Call(ctx context.Context, c *Client, address string,
 	request *Request) (*Response, error) {
 	key := address + m.Procedure
-	cached, ok := c.methods.Load(key)
+	cached, ok := c.clients.Load(key)
 	if !ok {
 		created := connect.NewClient[Request, Response](c.http, "http://"+key, connect.WithCodec(codec{}),
 			connect.WithAcceptCompression("gzip", nil, nil))
-		cached, _ = c.methods.LoadOrStore(key, created)
+		cached, _ = c.clients.LoadOrStore(key, created)
 	}
 	response, err := cached.(*connect.Client[Request, Response]).CallUnary(ctx, connect.NewRequest(request))
 	if err != nil {
--- a/serving/store/compatibility_test.go
+++ b/serving/store/compatibility_test.go
@@ -75,7 +75,7 @@
 	saved, found := load(t, openStore(t, copyFixture(t, replicaFileName)))
 
 	assert.True(t, found)
-	// The documents are compared decompressed: the compressor may change with the version of Go.
+	// The documents are compared decompressed, since their compressed form may change with the version of Go.
 	assertDocument(t, newDocument, &saved.Proposal.Record)
 	assertDocument(t, oldDocument, &saved.Learned)
 	want.Proposal.Record.Configuration.Document = saved.Proposal.Record.Configuration.Document
--- a/serving/store/endpointstore.go
+++ b/serving/store/endpointstore.go
@@ -51,8 +51,8 @@
 // endpointFile is the state of the store's actor; only the actor's goroutine may access it.
 type endpointFile struct {
 	databaseFile[*sqliteFile]
-	directorySynced bool                         // since the file was opened: the file's creation is durable
-	syncDirectory   func(directory string) error // a parameter for tests
+	directorySynced bool                         // since the file was opened, to make its creation durable
+	syncDirectory   func(directory string) error // replaced in tests
 }
 
 // OpenEndpointStore returns a store that keeps its file in a directory. The first Load or Save opens the file.
--- a/serving/store/endpointstore_test.go
+++ b/serving/store/endpointstore_test.go
@@ -106,7 +106,7 @@
 	require.NoError(t, store.Save(EndpointChanges{Snapshot: true, Changed: []state.Endpoint{newEndpoint(1)}}))
 	store.Close()
 	_, err = store.Load()
-	assert.Error(t, err, "the store is closed")
+	assert.Error(t, err, "closed")
 }
 
 // TestEndpointFile_SyncsItsDirectoryAgainAfterAFailure checks that a save succeeds only once the directory was synced:
