--- a/serving/rpc/rpc.go
+++ b/serving/rpc/rpc.go
@@ -1,5 +1,5 @@
 // Package rpc makes and serves typed calls between the system's processes, by the Connect protocol over HTTP/1.1 with
-// messages in CBOR. It retries no call that it has begun to send.
+// messages in CBOR. A call is never retried once the client has begun to send it.
 package rpc
 
 import (
@@ -36,7 +36,7 @@
 // Client calls other processes over a pool of connections. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
-	methods *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
+	clients *xsync.Map[string, any] // *connect.Client[Request, Response] by address and procedure
 }
 
 // NewClient returns a client with its own connection pool.
@@ -50,7 +50,7 @@
 	}
 	return &Client{
 		http:    &http.Client{Transport: transport},
-		methods: xsync.NewMap[string, any](),
+		clients: xsync.NewMap[string, any](),
 	}
 }
 
@@ -67,18 +67,19 @@
 	return errors.CombineErrors(err, optionErr)
 }
 
-// Method is the type of a call. Procedure is its path, such as "/rowanlink.register.v1/Prepare".
+// Method describes a call by the types of its messages and by its path. Procedure is the path, such as
+// "/rowanlink.register.v1/Prepare".
 type Method[Request, Response any] struct{ Procedure string }
 
 // Call calls the process at host:port. The context bounds the call.
 func (m Method[Request, Response]) Call(ctx context.Context, c *Client, address string,
 	request *Request) (*Response, error) {
 	key := address + m.Procedure
-	cached, ok := c.methods.Load(key)
+	cached, ok := c.clients.Load(key)
 	if !ok {
 		created := connect.NewClient[Request, Response](c.http, "http://"+key, connect.WithCodec(codec{}),
 			connect.WithAcceptCompression("gzip", nil, nil))
-		cached, _ = c.methods.LoadOrStore(key, created)
+		cached, _ = c.clients.LoadOrStore(key, created)
 	}
 	response, err := cached.(*connect.Client[Request, Response]).CallUnary(ctx, connect.NewRequest(request))
 	if err != nil {
@@ -87,13 +88,13 @@
 	return response.Msg, nil
 }
 
-// IsUnimplemented reports whether a call failed because the process, of an earlier release, doesn't serve it.
+// IsUnimplemented reports whether a call failed because the called process doesn't serve it, as in an earlier release.
 func IsUnimplemented(err error) bool {
 	var failure *connect.Error
 	return errors.As(err, &failure) && failure.Code() == connect.CodeUnimplemented
 }
 
-// Serve registers the handler of the call. Its errors reach the caller with the code "unavailable".
+// Serve registers the handler of the call. The caller gets the handler's errors with the code "unavailable".
 func (m Method[Request, Response]) Serve(mux *http.ServeMux,
 	handle func(context.Context, *Request) (*Response, error)) {
 	handler := connect.NewUnaryHandler(m.Procedure,
--- a/serving/store/compatibility_test.go
+++ b/serving/store/compatibility_test.go
@@ -13,7 +13,7 @@
 	"rowanlink/serving/state"
 )
 
-// copyFixture copies a file that release 63a0b91 has written into a new directory, and returns the directory.
+// copyFixture copies a file that was written by release 63a0b91 into a new directory, and returns the directory.
 func copyFixture(t *testing.T, name string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -75,7 +75,7 @@
 	saved, found := load(t, openStore(t, copyFixture(t, replicaFileName)))
 
 	assert.True(t, found)
-	// The documents are compared decompressed: the compressor may change with the version of Go.
+	// The documents are compared decompressed, since their compressed form may change with the version of Go.
 	assertDocument(t, newDocument, &saved.Proposal.Record)
 	assertDocument(t, oldDocument, &saved.Learned)
 	want.Proposal.Record.Configuration.Document = saved.Proposal.Record.Configuration.Document
@@ -92,8 +92,8 @@
 	assert.Equal(t, want, string(document))
 }
 
-// TestCompatibility_EndpointFile reads the copy of the endpoints of release 63a0b91. That release had saved a third
-// endpoint, too, and had removed it again.
+// TestCompatibility_EndpointFile reads the endpoint store of release 63a0b91. That release had also saved a third
+// endpoint and removed it again.
 func TestCompatibility_EndpointFile(t *testing.T) {
 	log := zerolog.Nop()
 	s := OpenEndpointStore(copyFixture(t, endpointFileName), &log)
