--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -1,4 +1,4 @@
-// Package dispatcher wires one real dispatcher and takes it through its phases, from start to exit.
+// Package dispatcher creates and connects the parts of a dispatcher process and runs them from start to exit.
 package dispatcher
 
 import (
@@ -44,9 +44,10 @@
 	defaultDiskMB   = 3
 )
 
-// Shares of the limits: of the memory for the heap and for one unparsed endpoint list; of the file descriptors for
-// clients (of which well-behaved ones open a third at most, and leave half of that third idle) and for connections to
-// endpoints.
+// Fractions of the limits. heapShare and listShare divide the memory: for the Go heap, and for one endpoint list before
+// it is parsed. The others divide the file descriptors: for clients' connections, for the idle ones among them, and for
+// connections to endpoints. Well-behaved clients use at most a third of the descriptors, and leave half of that third
+// idle.
 const (
 	heapShare       = 0.6
 	listShare       = 1.0 / 8
@@ -57,12 +58,12 @@
 	bytesPerMB = 1e6
 )
 
-// closeTimeout bounds the wait for clients' connections at the end.
+// closeTimeout bounds how long the shutdown waits for clients' connections to be closed.
 const closeTimeout = time.Second / 5
 
 // Dispatcher gives an Extension access to the parts of a dispatcher.
 type Dispatcher struct {
-	Configuration gjson.Result // the document
+	Configuration gjson.Result // the configuration file
 	StateDir      string       // the folder that survives the process
 	Settings      api.Settings
 	Catalog       config.Catalog
@@ -73,10 +74,10 @@
 	Server        *server.Server
 }
 
-// Extension is what a cluster adds to a dispatcher in the same process. Its methods are called in this order;
-// UpdateSettings any number of times, each time after the dispatcher itself has taken a new configuration.
+// Extension adds cluster membership to a dispatcher in the same process. Its methods are called in this order;
+// UpdateSettings is called once per reloaded configuration, after the dispatcher itself has applied it.
 type Extension interface {
-	Begin(*Dispatcher) error // wired, and nothing runs yet: no webhook, no turn
+	Begin(*Dispatcher) error // all parts are connected, but no webhook is accepted and the event loop doesn't run yet
 	Start()                  // everything runs, but clients are not let in yet
 	UpdateSettings(api.Settings)
 	Drain() // shutdown begins, before the dispatcher drains; may take as long as it needs
@@ -91,7 +92,7 @@
 		log.SetFlags(log.LstdFlags | log.Lmicroseconds)
 	}
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // from the first moment: uncaught, it would end the process
+	signal.Notify(hangups, syscall.SIGHUP) // before anything else: an unhandled SIGHUP would end the process
 	path := os.Getenv(configVariable)
 	c, err := loadConfiguration(path)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return p.shutdown()
 }
 
-// process is a wired dispatcher.
+// process holds the connected parts of a dispatcher.
 type process struct {
 	extension Extension
 	lifecycle *lifecycle.Lifecycle
@@ -126,7 +127,8 @@
 	served   chan error    // the server's end
 }
 
-// newProcess wires a dispatcher and recovers what an earlier incarnation left; nothing runs yet.
+// newProcess creates and connects the parts of a dispatcher, and recovers the webhooks and callbacks that an earlier
+// incarnation left in the write-ahead log. Nothing runs before start.
 func newProcess(c configuration, extension Extension) (*process, error) {
 	memory := c.limit("memory_mb", defaultMemoryMB) * bytesPerMB
 	debug.SetMemoryLimit(int64(heapShare * memory))
@@ -140,7 +142,8 @@
 	}
 	p.lifecycle.Enter(lifecycle.Starting)
 	var err error
-	// First: if another dispatcher runs already, this process ends here, before it touches the folder.
+	// Listening comes first: if another dispatcher already uses the address, this process ends before it touches the
+	// state folder.
 	p.listener, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", c.document.Get("listen").String())
 	if err != nil {
 		return nil, err
@@ -179,7 +182,8 @@
 	}
 }
 
-// beginLoop starts the policy behind a gate that opens with the first endpoint list, and takes the stored list.
+// beginLoop loads the stored endpoint list and starts the policy, which a gate keeps from making calls until the
+// discovery client is ready.
 func (p *process) beginLoop(c configuration, maxList int) {
 	gate := &refresh.StartupGate{}
 	linePeriod := api.Micros(discovery.LinePeriod.Microseconds())
@@ -202,7 +206,7 @@
 	})
 }
 
-// start lets everything run, clients last.
+// start starts all parts; the clients' server comes last.
 func (p *process) start() {
 	p.lifecycle.Enter(lifecycle.Serving)
 	go func() {
@@ -217,8 +221,8 @@
 	go func() { p.served <- p.server.Serve(p.listener) }()
 }
 
-// updateSettings applies a reloaded configuration: to the loop first, so that it knows all names that webhooks and lists may
-// use next.
+// updateSettings applies a reloaded configuration. The loop comes first: it must know a name before a webhook or an
+// endpoint list uses it.
 func (p *process) updateSettings(c configuration) {
 	p.loop.UpdateSettings(c.settings, c.catalog.EventTypes, c.idleTimeout)
 	p.server.UpdateSettings(c.settings, c.catalog)
@@ -242,7 +246,7 @@
 	}
 }
 
-// shutdown drains the dispatcher and ends all parts.
+// shutdown drains the dispatcher and stops all parts.
 func (p *process) shutdown() error {
 	if p.extension != nil {
 		p.extension.Drain()
--- a/webhook/dispatcher/eventloop/admission.go
+++ b/webhook/dispatcher/eventloop/admission.go
@@ -36,8 +36,8 @@
 	return true
 }
 
-// admitWithinBuffer rejects webhooks beyond the buffer. Of those that must be kept there are no more than clients'
-// connections.
+// admitWithinBuffer rejects webhooks while the buffer is full, except those that must be kept: there are no more of these
+// than clients' connections.
 func (l *Loop) admitWithinBuffer(w *inflight.Webhook) bool {
 	if len(l.webhooks) >= l.settings.BufferSize && !w.MustKeep {
 		w.Answer(inflight.Rejected, 0)
@@ -46,7 +46,7 @@
 	return true
 }
 
-// admitOnce refuses a request id that is pending already.
+// admitOnce refuses a webhook whose request id is pending already.
 func (l *Loop) admitOnce(w *inflight.Webhook) bool {
 	if _, pending := l.idOf[w.RequestID]; pending {
 		w.Answer(inflight.Duplicate, 0)
--- a/webhook/dispatcher/eventloop/cluster.go
+++ b/webhook/dispatcher/eventloop/cluster.go
@@ -7,18 +7,18 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Cluster says what a dispatcher that is a member of a cluster may do; it is nil without a cluster. It is called from the
+// Cluster tells the Loop of a cluster member which destinations it may call, and how much. Its methods are called from the
 // loop's goroutine and must not block.
 type Cluster interface {
 	// MayCall reports whether this member may call the destination now.
 	MayCall(destination api.DestinationID, ordered bool) bool
-	// RateShare is this member's share of the destination's rate, from 0 to 1.
+	// RateShare returns this member's share of the destination's rate, from 0 to 1.
 	RateShare(destination api.DestinationID) float64
-	// IsInDoubt reports whether another member may have a webhook of an earlier incarnation.
+	// IsInDoubt reports whether another member may also have a webhook that an earlier incarnation of this member left.
 	IsInDoubt(id inflight.RequestID) bool
 }
 
-// JoinCluster makes the loop part of a cluster; before Begin only.
+// JoinCluster makes the loop part of a cluster. It may be called only before Begin.
 func (l *Loop) JoinCluster(c Cluster) {
 	l.cluster = c
 	l.endpoints = map[api.EndpointID]api.EndpointEntry{}
@@ -49,7 +49,7 @@
 	l.park(w)
 }
 
-// Reevaluate is called when the Cluster's answers may have changed: it takes effect from the next turn on. It may be
+// Reevaluate has the next turn apply the Cluster's answers, which may have changed, to all webhooks and rates. It may be
 // called from any goroutine.
 func (l *Loop) Reevaluate() { l.inbox.Post(l.reevaluate) }
 
@@ -75,7 +75,8 @@
 	}
 }
 
-// sortedIDs returns all webhooks in the order of acceptance: the order by key depends on it.
+// sortedIDs returns the ids of all webhooks in the order of acceptance, in which webhooks of one ordering key must be
+// passed to the policy.
 func (l *Loop) sortedIDs() []api.WebhookID {
 	ids := make([]api.WebhookID, 0, len(l.webhooks))
 	for id := range l.webhooks {
@@ -85,7 +86,7 @@
 	return ids
 }
 
-// updateRates passes the rates that have changed with this member's shares to the policy.
+// updateRates passes to the policy the rates that have changed because this member's share of them has.
 func (l *Loop) updateRates() {
 	var changed []api.EndpointEntry
 	for id, entry := range l.endpoints {
@@ -101,8 +102,8 @@
 	l.policy.UpdateEndpoints(changed, false)
 }
 
-// withRateShare returns an entry with the rate of which an even part is this member's share: the policy divides rates by
-// the number of dispatchers.
+// withRateShare returns an entry with its rate scaled so that the policy, which divides rates evenly by the number of
+// dispatchers, arrives at this member's share.
 func (l *Loop) withRateShare(entry api.EndpointEntry) api.EndpointEntry {
 	entry.Rate *= l.cluster.RateShare(entry.Destination) * float64(max(l.settings.Dispatchers, 1))
 	return entry
@@ -117,7 +118,7 @@
 	}
 }
 
-// takeEndpoints stores a list's rates, and returns the list with this member's.
+// takeEndpoints stores a list's entries, and returns them with rates scaled by withRateShare.
 func (l *Loop) takeEndpoints(entries []api.EndpointEntry, complete bool) []api.EndpointEntry {
 	if l.cluster == nil {
 		return entries
--- a/webhook/dispatcher/eventloop/ending.go
+++ b/webhook/dispatcher/eventloop/ending.go
@@ -13,7 +13,8 @@
 	DeadLettered               // by callback
 )
 
-// EndObserver is a Cluster that observes each end, in the loop's goroutine.
+// EndObserver is implemented by a Cluster that is to be told how each webhook ended. Its method is called from the loop's
+// goroutine.
 type EndObserver interface {
 	WebhookEnded(w *inflight.Webhook, ending Ending)
 }
--- a/webhook/dispatcher/eventloop/event_types.go
+++ b/webhook/dispatcher/eventloop/event_types.go
@@ -11,8 +11,8 @@
 // unknownEventType is an event type that no settings name: webhooks of it are not retried.
 const unknownEventType = math.MaxUint8
 
-// SetEventTypes sets the names of event types by index; before Begin, or in a turn. Names beyond the last one stay:
-// webhooks of them may be pending, or be parsed by the settings before.
+// SetEventTypes sets the names of event types by index. It may be called only before Begin or in a turn. Names that a
+// shorter list lacks stay: webhooks with these event types may be pending, or were parsed under the previous settings.
 func (l *Loop) SetEventTypes(names []string) {
 	if len(names) > len(l.eventTypes) {
 		l.eventTypes = names
--- a/webhook/dispatcher/eventloop/host.go
+++ b/webhook/dispatcher/eventloop/host.go
@@ -11,7 +11,7 @@
 
 var _ api.Host = (*Loop)(nil)
 
-// Now implements api.Host: the time of the turn.
+// Now implements api.Host: it returns the time at which the turn began.
 func (l *Loop) Now() api.Micros { return l.now }
 
 // StartAttempt implements api.Host: the call is made at the end of the turn.
@@ -31,7 +31,7 @@
 // CancelAttempt implements api.Host.
 func (l *Loop) CancelAttempt(id api.WebhookID, _ int) { l.cancels = append(l.cancels, id) }
 
-// Reject implements api.Host: by the answer where the client still waits for one, else by callback.
+// Reject implements api.Host: it rejects by the answer if the client still waits for one, else by callback.
 func (l *Loop) Reject(id api.WebhookID, retryAfter api.Micros) {
 	w := l.webhooks[id]
 	if w == nil {
@@ -53,7 +53,7 @@
 	l.enqueueCallback(w, callback.Rejected(w.RequestID, retryAfter))
 }
 
-// DeadLetter implements api.Host: by callback.
+// DeadLetter implements api.Host: it is reported by callback.
 func (l *Loop) DeadLetter(id api.WebhookID) {
 	w := l.webhooks[id]
 	if w == nil || l.notifyResult(w, inflight.StatusDeadLettered, 0) {
@@ -65,7 +65,7 @@
 	l.enqueueCallback(w, callback.DeadLettered(w.RequestID))
 }
 
-// enqueueCallback finishes a webhook and sends its callback once that is written.
+// enqueueCallback finishes a webhook, and enqueues its callback once the log is written.
 func (l *Loop) enqueueCallback(w *inflight.Webhook, line []byte) {
 	line = l.nameSubscriber(w, line)
 	l.log.Finish(w.ID, line)
@@ -78,7 +78,7 @@
 	l.timers.Add(int64(l.now+after), func() { l.policy.TimerFired(timer) })
 }
 
-// CloseIdleConnections implements api.Host: at the end of the turn.
+// CloseIdleConnections implements api.Host: they are closed at the end of the turn.
 func (l *Loop) CloseIdleConnections(endpoint api.EndpointID) {
 	l.idleToClose = append(l.idleToClose, endpoint)
 }
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -1,5 +1,6 @@
-// Package eventloop runs the decision policy: one goroutine owns it and is its api.Host. A turn takes everything that
-// waits, lets the policy decide once, writes the decisions to the write-ahead log, and only then acts on them.
+// Package eventloop runs the decision policy in one goroutine, which owns the policy and implements its api.Host. The loop
+// works in turns: a turn handles all queued input, lets the policy decide once, writes the decisions to the write-ahead
+// log, and only then acts on them.
 package eventloop
 
 import (
@@ -14,11 +15,12 @@
 	"rowanlink/webhook/dispatcher/wal"
 )
 
-// sweepTurns is how many turn intervals lie between two sweeps of idle connections.
+// sweepTurns is the number of minimum turn intervals between two sweeps of idle connections.
 const sweepTurns = 20
 
-// Loop owns the policy and the webhooks. Methods that say so may be called from any goroutine: they post to the loop, and
-// some wait for the turn in which it is done. All others belong to the loop's goroutine, or to the time before Run.
+// Loop owns the policy and the webhooks. Methods whose comment says so may be called from any goroutine: they post a
+// function to the loop, and some wait for the turn that runs it. All other methods may be called only from the loop's
+// goroutine, or before Run.
 type Loop struct {
 	inbox      *inflight.Inbox
 	lifecycle  *lifecycle.Lifecycle
@@ -39,15 +41,15 @@
 	timers     timerqueue.Queue[func()]
 	stopped    chan struct{} // closed after the last turn
 
-	// In a cluster, else nil.
+	// Used only in a cluster; nil otherwise.
 	cluster          Cluster
 	parked           map[api.WebhookID]*inflight.Webhook
 	parkedByKey      map[orderingGroup][]api.WebhookID // in the order of acceptance
 	endpoints        map[api.EndpointID]api.EndpointEntry
 	rates            map[api.EndpointID]float64             // as last passed to the policy
-	recoveredResults map[inflight.RequestID]recoveredResult // of an earlier incarnation, for other members
+	recoveredResults map[inflight.RequestID]recoveredResult // that an earlier incarnation left for other members
 
-	// Of the present turn.
+	// State of the current turn.
 	unanswered   map[api.WebhookID]*inflight.Webhook // accepted, and the client has no answer yet
 	accepted     []api.WebhookID
 	attempts     []attempt
@@ -57,13 +59,13 @@
 	commitFailed bool
 }
 
-// attempt is one that the policy started in this turn.
+// attempt is a delivery attempt that the policy started in this turn.
 type attempt struct {
 	endpoint api.EndpointID
 	upstream.Attempt
 }
 
-// New returns a Loop; Begin gives it the parts that call back to it.
+// New returns a Loop. Begin passes it the parts that need the Loop for their own creation.
 func New(inbox *inflight.Inbox, life *lifecycle.Lifecycle, log *wal.Log, settings api.Settings) *Loop {
 	l := &Loop{
 		inbox:      inbox,
@@ -137,7 +139,7 @@
 	return <-empty && l.upstream.InFlight() == 0
 }
 
-// UpdateSettings has the policy decide by other settings from the next turn on. What is beyond a lower limit drains. It
+// UpdateSettings applies other settings from the next turn on. What exceeds a lowered limit is not dropped, but drains. It
 // may be called from any goroutine.
 func (l *Loop) UpdateSettings(settings api.Settings, eventTypes []string, idleTimeout api.Micros) {
 	l.inbox.Post(func() {
@@ -148,7 +150,8 @@
 	})
 }
 
-// UpdateEndpoints takes a list with the addresses of its entries. It may be called from any goroutine.
+// UpdateEndpoints applies an endpoint list; addresses[i] is the address of entries[i]. Endpoints that a complete list
+// lacks are removed. It may be called from any goroutine.
 func (l *Loop) UpdateEndpoints(entries []api.EndpointEntry, addresses []string, complete bool) {
 	l.inbox.Lists.Add(1)
 	for _, entry := range entries {
@@ -174,7 +177,7 @@
 	return api.DestinationKind{}
 }
 
-// CallFinished takes the result of a webhook's part in a call. It may be called from any goroutine.
+// CallFinished reports the result that a call had for one of its webhooks. It may be called from any goroutine.
 func (l *Loop) CallFinished(w *inflight.Webhook, result api.AttemptResult) {
 	l.inbox.Post(func() { l.handleResult(w, result) })
 }
@@ -182,7 +185,7 @@
 // handleResult records the result of an attempt and passes it to the policy.
 func (l *Loop) handleResult(w *inflight.Webhook, result api.AttemptResult) {
 	delete(l.inFlight, w.ID)
-	discarded := result.Final // by the endpoint: it needs no delivery any more
+	discarded := result.Final // the endpoint answered that it needs no delivery any more
 	delivered := result.Outcome == api.Delivered
 	switch {
 	case delivered || discarded:
@@ -205,7 +208,7 @@
 	}
 }
 
-// handleNotSent takes back an attempt that was not made after all.
+// handleNotSent ends an attempt for which no call is made after all.
 func (l *Loop) handleNotSent(a attempt) {
 	l.handleResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: a.endpoint, Outcome: api.NotSent})
 }
@@ -230,7 +233,7 @@
 	delete(l.idOf, w.RequestID)
 }
 
-// scheduleSweep has idle connections swept from time to time.
+// scheduleSweep schedules the next sweep of idle connections; each sweep schedules another one.
 func (l *Loop) scheduleSweep() {
 	l.timers.Add(int64(l.now+sweepTurns*l.settings.MinTurnInterval), func() {
 		l.upstream.Sweep()
--- a/webhook/dispatcher/eventloop/parked.go
+++ b/webhook/dispatcher/eventloop/parked.go
@@ -16,7 +16,7 @@
 	Zone           api.ZoneID
 }
 
-// orderingGroup is the webhooks that are delivered one at a time.
+// orderingGroup identifies webhooks that are delivered one at a time: those of one key for one destination.
 type orderingGroup struct {
 	destination api.DestinationID
 	key         api.OrderingKey
@@ -24,7 +24,8 @@
 
 func groupOf(w *inflight.Webhook) orderingGroup { return orderingGroup{w.Destination, w.OrderingKey} }
 
-// park takes a webhook out of the policy's hands: it stays logged and pending, but nobody here calls its destination.
+// park adds a webhook that the policy doesn't hold to the parked ones: it stays logged and pending, but this member makes
+// no calls for it.
 func (l *Loop) park(w *inflight.Webhook) {
 	l.parked[w.ID] = w
 	if w.OrderingKey != 0 {
@@ -49,8 +50,8 @@
 	}
 }
 
-// resumeParked passes a parked webhook to the policy if its destination may be called now, and then those that waited
-// behind it.
+// resumeParked passes a parked webhook to the policy if its destination may be called now, and then those of its key that
+// waited behind it. It reports whether the webhook was passed on.
 func (l *Loop) resumeParked(id api.WebhookID) bool {
 	w, entry := l.parked[id], l.log.Pending(id)
 	if w == nil || entry == nil || !l.mayCall(w) {
@@ -68,7 +69,7 @@
 }
 
 // hasEarlierParked reports whether an earlier webhook of the same key is parked here. A webhook without an id has yet to
-// be accepted.
+// be accepted, so that all parked ones are earlier.
 func (l *Loop) hasEarlierParked(w *inflight.Webhook) bool {
 	for _, id := range l.parkedByKey[groupOf(w)] {
 		if w.ID != 0 && id >= w.ID {
@@ -81,7 +82,8 @@
 	return false
 }
 
-// expireParked ends a parked webhook in time, as the policy ends its own.
+// expireParked ends a parked webhook before its deadline, as the policy does with its own: one that may have run is
+// dead-lettered, any other one is rejected.
 func (l *Loop) expireParked(id api.WebhookID) {
 	w, entry := l.parked[id], l.log.Pending(id)
 	if w == nil || entry == nil || l.awaitsRelay(w) {
@@ -95,9 +97,9 @@
 	}
 }
 
-// WaitsForEarlier reports whether a webhook that is not accepted yet has to wait here for an earlier one of its key,
-// which is parked: it must not overtake it on the way to the destination's owner. It waits for a turn; it may be called
-// from any goroutine.
+// WaitsForEarlier reports whether an earlier webhook of the same key is parked here. If so, a webhook that is not accepted
+// yet has to wait here too: it must not overtake the earlier one on the way to the destination's owner. It waits for a
+// turn; it may be called from any goroutine.
 func (l *Loop) WaitsForEarlier(w *inflight.Webhook) (waits bool) {
 	if w.OrderingKey == 0 {
 		return false
@@ -106,9 +108,10 @@
 	return waits
 }
 
-// ParkedWebhooks returns the parked webhooks that match, in the order of acceptance, and how many matching ones can't be
-// handed off yet: those in a call, and those behind one of their key that is. All that may not be called any more are
-// parked first. It waits for a turn; it may be called from any goroutine.
+// ParkedWebhooks returns the parked webhooks that match, in the order of acceptance. busy is the number of matching
+// webhooks that can't be handed off yet: those in a call, and those that come after such a webhook in the order of their
+// key. Before that, all webhooks that this member may no longer call for are parked. It waits for a turn; it may be called
+// from any goroutine.
 func (l *Loop) ParkedWebhooks(matches func(*inflight.Webhook) bool) (all []Parked, busy int) {
 	l.runInTurn(func() {
 		l.reevaluate()
@@ -130,7 +133,7 @@
 	return all, busy
 }
 
-// parkedSnapshot copies the webhook as it is in this turn: whether it is in doubt changes in others.
+// parkedSnapshot copies the webhook as it is in this turn, since InDoubt may change in later turns.
 func parkedSnapshot(w *inflight.Webhook, prior api.PriorAttempts) Parked {
 	snapshot := *w
 	return Parked{
--- a/webhook/dispatcher/eventloop/relay.go
+++ b/webhook/dispatcher/eventloop/relay.go
@@ -35,10 +35,10 @@
 	return err
 }
 
-// HandToRelay hands parked webhooks to a relay: until TakeBack or FinishByRelay nobody here calls for them, and from `at`
-// on each may have run. Each comes with the number of attempts that it is handed over with. false: nothing was done,
-// because one is no longer parked here, was called for meanwhile, or the log can't be written. It waits for a turn; it
-// may be called from any goroutine.
+// HandToRelay records that parked webhooks are handed to a relay: until TakeBack or FinishByRelay this member makes no
+// calls for them, and from `at` on each may have run. attempts holds the number of attempts that the relay is told for
+// each webhook. HandToRelay returns false and changes nothing if one of them is no longer parked here, is in doubt or has
+// had another attempt meanwhile, or if the log can't be written. It waits for a turn; it may be called from any goroutine.
 func (l *Loop) HandToRelay(attempts map[inflight.RequestID]int, at api.Micros) (ok bool) {
 	l.runInTurn(func() { ok = l.handToRelay(attempts, at) })
 	return ok
@@ -64,7 +64,8 @@
 		if hadRun[id] {
 			since = entry.MayHaveRunAt
 		}
-		// It counts as an attempt: without one the policy doesn't ask whether it may have run.
+		// The handover counts as an attempt: for a webhook without attempts the policy doesn't check whether it may have
+		// run.
 		l.log.SetPriorAttempts(w.ID, entry.Attempts+1, since, entry.Zone)
 	}
 	if l.commit() != nil {
@@ -82,8 +83,8 @@
 	MayHaveRun    bool // before it was handed to the relay
 }
 
-// clearInDoubt makes a webhook this member's again. Where the relay never received it, the attempt that HandToRelay
-// counted is taken back.
+// clearInDoubt returns a webhook from the relay to this member. If the relay never received it, the attempt that
+// HandToRelay counted is subtracted again.
 func (l *Loop) clearInDoubt(w *inflight.Webhook, back TakenBack) {
 	w.InDoubt = false
 	w.AtRelay = false
@@ -110,8 +111,8 @@
 	})
 }
 
-// RestoreAtRelay marks webhooks of an earlier incarnation that were handed to a relay then, before anybody here calls for
-// them. It waits for a turn; it may be called from any goroutine.
+// RestoreAtRelay marks webhooks that an earlier incarnation handed to a relay, before this member makes calls for them. It
+// waits for a turn; it may be called from any goroutine.
 func (l *Loop) RestoreAtRelay(ids []inflight.RequestID) {
 	atRelay := toSet(ids)
 	l.runInTurn(func() {
@@ -126,8 +127,9 @@
 	})
 }
 
-// awaitsRelay reports whether a webhook at a relay, which ends it in time, still has some time after its deadline for the
-// relay's result: if it were ended here at once, it could get two results.
+// awaitsRelay reports whether a webhook must still wait for a relay's result, and schedules its expiry for the end of that
+// wait. The relay ends the webhook by its deadline, and its result may arrive up to AnswerTimeout later: if this member
+// ended the webhook at the deadline, it could get two results.
 func (l *Loop) awaitsRelay(w *inflight.Webhook) bool {
 	until := w.Deadline + inflight.AnswerTimeout
 	if !w.AtRelay || l.now >= until {
@@ -137,9 +139,9 @@
 	return true
 }
 
-// FinishByRelay ends webhooks by a relay's results, and reports whether that is written. Webhooks that are no longer
-// pending have ended. One that is called for here, since the relay was unreachable, is ended only by a delivery. It waits
-// for a turn; it may be called from any goroutine.
+// FinishByRelay ends webhooks with a relay's results, and reports whether the log is written. Webhooks that are no longer
+// pending are skipped: they have ended. A webhook that was taken back, since the relay was unreachable, is ended only by a
+// delivery, and not while it is in a call. It waits for a turn; it may be called from any goroutine.
 func (l *Loop) FinishByRelay(results []inflight.Result) (written bool) {
 	byID := map[inflight.RequestID]inflight.Result{}
 	for _, r := range results {
--- a/webhook/dispatcher/eventloop/result.go
+++ b/webhook/dispatcher/eventloop/result.go
@@ -15,7 +15,8 @@
 	inflight.Result
 }
 
-// notifyResult ends a webhook whose result goes to another member in place of the platform, and reports whether it is one.
+// notifyResult ends a webhook whose result goes to another member in place of the platform, and returns true. For any
+// other webhook it does nothing and returns false.
 func (l *Loop) notifyResult(w *inflight.Webhook, status inflight.Status, retryAfter api.Micros) bool {
 	if w.OnFinished == nil || l.webhooks[w.ID] != w {
 		return false
@@ -31,7 +32,8 @@
 	return true
 }
 
-// isRecoveredResult keeps a result that is for another member from being sent to the platform.
+// isRecoveredResult reports whether an entry's callback is a result for another member, and stores it: it must not be sent
+// to the platform.
 func (l *Loop) isRecoveredResult(e *wal.Entry) bool {
 	result, ok := inflight.DecodeResult(e.Callback)
 	if !ok {
@@ -44,9 +46,9 @@
 	return true
 }
 
-// NotifyInsteadOfPlatform has results of an earlier incarnation's webhooks go to onFinished in place of the platform. It
-// returns those that have ended by now with their results, and which of the others are pending. It waits for a turn; it
-// may be called from any goroutine.
+// NotifyInsteadOfPlatform has the results of an earlier incarnation's webhooks passed to onFinished in place of the
+// platform. It returns the results of those that have ended by now, and which of the others are pending. It waits for a
+// turn; it may be called from any goroutine.
 func (l *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, onFinished func(api.WebhookID, inflight.Result)) (
 	finished map[api.WebhookID]inflight.Result, pending map[inflight.RequestID]bool) {
 	wanted := toSet(ids)
@@ -70,7 +72,8 @@
 	return finished, pending
 }
 
-// nameSubscriber has the callback of a broadcast's delivery name the broadcast and the subscriber.
+// nameSubscriber replaces the request id in the callback of a broadcast's delivery by the broadcast's request id and the
+// subscriber's number.
 func (l *Loop) nameSubscriber(w *inflight.Webhook, line []byte) []byte {
 	broadcast, subscriber, ok := w.RequestID.Subscriber()
 	if l.cluster == nil || !ok {
--- a/webhook/dispatcher/eventloop/state_transfer.go
+++ b/webhook/dispatcher/eventloop/state_transfer.go
@@ -2,8 +2,8 @@
 
 import "rowanlink/webhook/api"
 
-// ExportState returns what the policy knows of the destinations that match. idle: no call to them is in flight, so that
-// nothing can be added to it any more. It waits for a turn; it may be called from any goroutine.
+// ExportState returns what the policy knows of the destinations that match. idle reports whether no call to them is in
+// flight, so that the state can't change any more. It waits for a turn; it may be called from any goroutine.
 func (l *Loop) ExportState(matches func(api.DestinationID) bool) (all []api.DestinationState, idle bool) {
 	l.runInTurn(func() {
 		idle = true
--- a/webhook/dispatcher/eventloop/transfer.go
+++ b/webhook/dispatcher/eventloop/transfer.go
@@ -26,9 +26,9 @@
 	return all
 }
 
-// MarkInDoubt marks the webhooks that are still parked here before they are offered to another member, and returns them:
-// nobody here calls for them before that is resolved. The value is true where the webhook was not in doubt before. It
-// waits for a turn; it may be called from any goroutine.
+// MarkInDoubt marks those of the webhooks that are still parked here as in doubt, before they are offered to another
+// member: this member makes no calls for them until the doubt is resolved. It returns the marked webhooks; the value is
+// true where the webhook was not in doubt before. It waits for a turn; it may be called from any goroutine.
 func (l *Loop) MarkInDoubt(ids []api.WebhookID) map[api.WebhookID]bool {
 	marked := map[api.WebhookID]bool{}
 	l.runInTurn(func() {
@@ -42,8 +42,8 @@
 	return marked
 }
 
-// FinishTransferred ends webhooks that another member has in its log, and waits until that is written: this member does
-// nothing more for them. It may be called from any goroutine.
+// FinishTransferred ends webhooks that another member has in its log: this member does nothing more for them. It waits for
+// the write of the turn's decisions; it may be called from any goroutine.
 func (l *Loop) FinishTransferred(ids []api.WebhookID) {
 	l.runAndCommit(func() {
 		for _, id := range ids {
@@ -57,7 +57,8 @@
 	}, func() {})
 }
 
-// ResolveInDoubt makes webhooks this member's: no other member has them. It may be called from any goroutine.
+// ResolveInDoubt resolves the doubt about webhooks that no other member has: this member may call for them again. It may
+// be called from any goroutine.
 func (l *Loop) ResolveInDoubt(ids []inflight.RequestID) {
 	if len(ids) == 0 {
 		return
@@ -83,9 +84,9 @@
 	})
 }
 
-// MergePriorAttempts takes what another member did for webhooks in doubt, in addition to what is known here, and waits
-// until that is written, if it could be: then ResolveInDoubt may follow. Webhooks that are no longer pending have ended.
-// It may be called from any goroutine.
+// MergePriorAttempts merges the attempts that another member made for webhooks in doubt with those known here, and reports
+// whether the result is written to the log: only then may ResolveInDoubt follow. Webhooks that are no longer pending are
+// skipped. It waits for the write; it may be called from any goroutine.
 func (l *Loop) MergePriorAttempts(all map[inflight.RequestID]*inflight.PriorAttempts) (written bool) {
 	l.runAndCommit(func() {
 		for requestID, prior := range all {
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -14,7 +14,8 @@
 // maxTurnInterval is the longest time between two turns.
 const maxTurnInterval = api.Second
 
-// Run takes turns until the process has stopped: when something is posted or due, at least the minimum interval apart.
+// Run takes turns until the process has stopped. A turn begins when something is queued or a timer is due, but no sooner
+// than the minimum interval after the last one.
 func (l *Loop) Run() {
 	timer := time.NewTimer(0)
 	for l.lifecycle.Phase() < lifecycle.Stopped {
@@ -32,11 +33,11 @@
 		}
 		l.turn()
 	}
-	l.turn() // the last results are written down
+	l.turn() // writes the last results to the log
 	close(l.stopped)
 }
 
-// turn handles everything that waits, has the policy decide, and acts on the decisions.
+// turn handles all queued input and due timers, has the policy decide, and acts on the decisions.
 func (l *Loop) turn() {
 	arrivals, posted := l.inbox.TakeAll()
 	l.now = inflight.Now()
@@ -61,7 +62,7 @@
 	l.actOnTurn()
 }
 
-// runInTurn has something done in the next turn and waits for it, unless there are no more turns.
+// runInTurn runs do in the next turn and waits for it. After the last turn it returns without running do.
 func (l *Loop) runInTurn(do func()) {
 	done := make(chan struct{})
 	l.inbox.Post(func() {
@@ -71,7 +72,8 @@
 	l.wait(done)
 }
 
-// runAndCommit has something done in the next turn and waits until the turn's decisions are written.
+// runAndCommit runs do in the next turn, and committed once the write of that turn's decisions has succeeded or failed
+// (see commitFailed); it waits for both. After the last turn it returns without running them.
 func (l *Loop) runAndCommit(do, committed func()) {
 	done := make(chan struct{})
 	l.inbox.Post(func() {
@@ -91,7 +93,8 @@
 	}
 }
 
-// actOnTurn writes the decisions of the turn down, then answers clients, cancels and starts calls, and notifies.
+// actOnTurn writes the turn's decisions to the log, then answers clients, cancels and starts calls, and runs the functions
+// that waited for the write.
 func (l *Loop) actOnTurn() {
 	l.dropForbiddenAttempts()
 	for _, a := range l.attempts {
@@ -129,7 +132,7 @@
 	l.idleToClose = l.idleToClose[:0]
 }
 
-// dropForbiddenAttempts takes back attempts whose lease has ended since the turn began.
+// dropForbiddenAttempts drops the attempts to destinations whose lease has ended since the turn began.
 func (l *Loop) dropForbiddenAttempts() {
 	l.attempts = slices.DeleteFunc(l.attempts, func(a attempt) bool {
 		if l.mayCall(a.Webhook) {
@@ -140,8 +143,8 @@
 	})
 }
 
-// handleCommitFailure keeps the loop from acting on decisions that would not survive the process, when the disk is full or
-// has failed: the webhooks of this turn are rejected, and none of its calls is made.
+// handleCommitFailure handles a failed write, when the disk is full or broken. Since the turn's decisions would not survive
+// the process, the webhooks accepted in this turn are rejected, and none of its calls is made.
 func (l *Loop) handleCommitFailure(err error) {
 	slog.Error("write-ahead log not written", "err", err)
 	l.inbox.LogErrors.Add(1)
--- a/webhook/dispatcher/inflight/broadcast.go
+++ b/webhook/dispatcher/inflight/broadcast.go
@@ -15,9 +15,10 @@
 
 // Broadcast has the further fields of a webhook where broadcast lists and site streams are enabled.
 type Broadcast struct {
-	List    string // not accepted yet: for the list's subscribers, in place of a destination
+	List    string // until it is accepted: the list to whose subscribers it goes, in place of a destination
 	AtRelay bool   // handed to a relay, which ends it
-	// OnFinished takes its result in place of the platform and must not block; nil: the platform gets it.
+	// OnFinished is called with its result, which then doesn't go to the platform; it must not block. nil: the result goes
+	// to the platform.
 	OnFinished func(api.WebhookID, Result)
 }
 
@@ -31,7 +32,7 @@
 	return broadcast + subscriberSeparator + RequestID(strconv.FormatUint(uint64(subscriber), 10))
 }
 
-// Subscriber takes such a request id apart; ok is false for any other one.
+// Subscriber splits a request id that ForSubscriber made; ok is false for any other one.
 func (id RequestID) Subscriber() (broadcast RequestID, subscriber api.DestinationID, ok bool) {
 	at := strings.LastIndex(string(id), subscriberSeparator)
 	if at < 0 {
@@ -41,13 +42,14 @@
 	return id[:at], api.DestinationID(n), err == nil
 }
 
-// IsReserved reports whether a client's request id would be taken for a subscriber's.
+// IsReserved reports whether a client's request id would be mistaken for that of a broadcast's delivery to a subscriber.
 func (x *Inbox) IsReserved(id string) bool {
 	_, _, isSubscriber := RequestID(id).Subscriber()
 	return x.HasList != nil && isSubscriber
 }
 
-// ListInRoute finds `list=prices` among the parts of a route; ok: there is such a list.
+// ListInRoute returns the name of a broadcast list that is a part of a route, as in `list=prices`; ok reports whether the
+// list exists.
 func (x *Inbox) ListInRoute(route string) (name string, ok bool) {
 	if x.HasList == nil {
 		return "", false
--- a/webhook/dispatcher/inflight/counters.go
+++ b/webhook/dispatcher/inflight/counters.go
@@ -9,7 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Counters count what is received, sent and answered since the start. The metrics keep their first names.
+// Counters count what is received, sent and answered since the start. Metrics keep the names that they were first
+// published with, even where the fields have others.
 type Counters struct {
 	Accepted, Rejected, Malformed, Recovered     atomic.Int64    // webhooks, by the answer to their client; recovered ones
 	Calls, Bundled, Connections                  atomic.Int64    // calls; webhooks that shared one; connections opened
@@ -57,7 +58,7 @@
 	}
 }
 
-// WriteMetrics writes the counters, one a line, in the text form that monitoring systems read.
+// WriteMetrics writes the counters, one per line, in the text form that monitoring systems read.
 func (c *Counters) WriteMetrics(to io.Writer) {
 	c.each(func(name string, n int64) {
 		_, _ = fmt.Fprintf(to, "rowanlink_%s_total %d\n", name, n) // the reader may have left
--- a/webhook/dispatcher/inflight/encoding.go
+++ b/webhook/dispatcher/inflight/encoding.go
@@ -10,8 +10,8 @@
 
 var errMalformed = errors.New("a webhook's stored form is malformed")
 
-// formatWide opens the stored form whose destinations have 32 bits. The form before it had 16 and began with the event
-// type, of which none has this number: settings can't name so many.
+// formatWide is the first byte of the stored form whose destinations have 32 bits. The older form has 16 bits and begins
+// with the event type, which is never this number: settings can't name so many event types.
 const formatWide = 0xff
 
 // Offsets and lengths in the stored form, after formatWide: event type, tenant, ordering key, destination, deadline.
@@ -43,7 +43,7 @@
 	return append(b, text...)
 }
 
-// DecodeWebhook reads that form, and the one before it.
+// DecodeWebhook decodes a stored webhook of either form.
 func DecodeWebhook(id api.WebhookID, b []byte) (*Webhook, error) {
 	if len(b) > 0 && b[0] == formatWide {
 		b = b[1:]
@@ -75,7 +75,7 @@
 	return w, nil
 }
 
-// cutText reads a text with its length before it.
+// cutText reads a text that is preceded by its length, and returns what follows it.
 func cutText(b []byte) (text string, rest []byte, err error) {
 	if len(b) < textLengthLen {
 		return "", nil, errMalformed
--- a/webhook/dispatcher/inflight/inbox.go
+++ b/webhook/dispatcher/inflight/inbox.go
@@ -9,8 +9,8 @@
 	"rowanlink/webhook/api"
 )
 
-// Inbox holds what waits for the event loop. It is safe for concurrent use. What waits is bounded: a client's connection
-// has one webhook at a time, a slot one call, and lists are read one by one.
+// Inbox queues the input of the event loop. It is safe for concurrent use. The queues have no limit of their own, but are
+// bounded: a client's connection has one webhook at a time, a slot one call, and lists are read one by one.
 type Inbox struct {
 	Counters
 
@@ -20,7 +20,7 @@
 	ready        chan struct{}
 	destinations map[api.DestinationID]bool
 
-	// What a cluster adds, before the clients' server runs; nil elsewhere.
+	// Set by a cluster before the clients' server runs; nil without a cluster.
 
 	// Forward takes a webhook to the member that owns its destination and answers for it; submitLocal submits it here.
 	Forward func(w *Webhook, submitLocal func() (Answer, api.Micros)) (answer Answer, retryAfter api.Micros)
@@ -34,22 +34,23 @@
 	return &Inbox{ready: make(chan struct{}, 1), destinations: map[api.DestinationID]bool{}}
 }
 
-// AddDestination records that a list has named a destination; it stays known when it has no endpoint any more.
+// AddDestination records that an endpoint list has named a destination, which stays known after its last endpoint is
+// removed.
 func (x *Inbox) AddDestination(destination api.DestinationID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.destinations[destination] = true
 }
 
-// HasDestination reports whether any list has named a destination.
+// HasDestination reports whether any endpoint list so far has named a destination.
 func (x *Inbox) HasDestination(destination api.DestinationID) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.destinations[destination]
 }
 
-// Submit submits a client's webhook, here or to another member, and waits for the answer. A rejection may have a time after
-// which to submit the webhook again (0: none).
+// Submit submits a client's webhook, here or to another member, and waits for the answer. A rejection may come with the
+// delay after which the client may submit the webhook again (0: none given).
 func (x *Inbox) Submit(w *Webhook) (answer Answer, retryAfter api.Micros) {
 	if x.Forward == nil {
 		return x.SubmitLocal(w)
@@ -92,7 +93,7 @@
 	}
 }
 
-// WriteMetrics writes the counters, one a line, in the text form that monitoring systems read.
+// WriteMetrics writes the counters, one per line, in the text form that monitoring systems read.
 func (x *Inbox) WriteMetrics(to io.Writer) {
 	x.Counters.WriteMetrics(to)
 	if x.ExtraMetrics != nil {
@@ -115,10 +116,10 @@
 	}
 }
 
-// Ready receives when something waits.
+// Ready returns a channel that receives a value when something is queued.
 func (x *Inbox) Ready() <-chan struct{} { return x.ready }
 
-// TakeAll takes everything that waits.
+// TakeAll removes and returns everything that is queued.
 func (x *Inbox) TakeAll() (arrivals []*Webhook, posted []func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/webhook/dispatcher/inflight/result.go
+++ b/webhook/dispatcher/inflight/result.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Status is how a webhook ended whose result goes to another member.
+// Status tells another member, to which a webhook's result goes, how the webhook ended.
 type Status uint8
 
 // Statuses. The numbers are stored and sent: they never change.
@@ -16,7 +16,7 @@
 	StatusDeadLettered
 )
 
-// Result is the result of a webhook for another member.
+// Result is the result of a webhook as it is sent to another member.
 type Result struct {
 	RequestID  RequestID
 	Status     Status
@@ -26,7 +26,7 @@
 }
 
 const (
-	// resultTag begins a result's stored form: a callback for the platform begins otherwise.
+	// resultTag is the first byte of a result's stored form. A callback for the platform begins with another byte.
 	resultTag = 'R'
 	// resultFixedLen is the length of the fields before the request id: tag, status, time, attempts, flag.
 	resultFixedLen = 1 + 1 + 8 + 2 + 1
@@ -44,7 +44,7 @@
 	return append(b, r.RequestID...)
 }
 
-// DecodeResult reads that form; false: it is a callback for the platform.
+// DecodeResult decodes a stored result. It returns false if b is a callback for the platform.
 func DecodeResult(b []byte) (Result, bool) {
 	if len(b) < resultFixedLen || b[0] != resultTag {
 		return Result{}, false
--- a/webhook/dispatcher/inflight/webhook.go
+++ b/webhook/dispatcher/inflight/webhook.go
@@ -33,13 +33,13 @@
 	ReceivedAt api.Micros
 	answer     chan submissionAnswer
 
-	// In a cluster.
+	// Used only in a cluster.
 
-	// Prior is what another member did for it; nil if nothing.
+	// Prior holds the attempts that other members made for it; nil if none.
 	Prior *PriorAttempts
-	// InDoubt: another member may have it. Nobody here calls for it before that is resolved.
+	// InDoubt is set while another member may have the webhook. This member makes no calls for it until that is resolved.
 	InDoubt bool
-	// MustKeep: no other member would resolve the doubt, so it is accepted regardless of limits.
+	// MustKeep is set if no other member would resolve the doubt: the webhook is accepted regardless of limits.
 	MustKeep bool
 	Broadcast
 }
--- a/webhook/dispatcher/reload.go
+++ b/webhook/dispatcher/reload.go
@@ -14,7 +14,7 @@
 	"rowanlink/webhook/config"
 )
 
-// configuration is the dispatcher's configuration file, with the settings in it.
+// configuration is the dispatcher's configuration file, with the settings parsed from it.
 type configuration struct {
 	document    gjson.Result
 	settings    api.Settings
@@ -25,7 +25,7 @@
 // immutableKeys can't change while the process runs.
 var immutableKeys = []string{"listen", "limits.sockets", "limits.disk_mb", "limits.memory_mb"}
 
-// retainNames is how long the name of a removed endpoint may still be needed: two of the longest TTLs.
+// retainNames returns how long the name of a removed endpoint may still be needed: twice the longest TTL.
 func (c configuration) retainNames() (longest api.Micros) {
 	for _, t := range c.settings.EventTypes {
 		longest = max(longest, 2*t.TTL)
@@ -33,7 +33,7 @@
 	return longest
 }
 
-// limit returns one of the limits, or a default where none is given.
+// limit returns a configured limit, or fallback where the limit is missing or not positive.
 func (c configuration) limit(name string, fallback float64) float64 {
 	if v := c.document.Get("limits." + name).Float(); v > 0 {
 		return v
@@ -60,7 +60,7 @@
 	}
 	c := configuration{document: document}
 	c.settings, c.catalog, c.idleTimeout, err = config.FromJSON(seed, document.Get("settings"))
-	c.settings.ConnectionLimitsReported = true // the protocol's answer for it has an outcome of its own
+	c.settings.ConnectionLimitsReported = true // upstream recognizes them and reports api.ConnectionLimited
 	return c, err
 }
 
@@ -123,8 +123,8 @@
 	return next, config.CheckReload(current.settings, next.settings, current.catalog, next.catalog)
 }
 
-// withRetiredNames returns the configuration that later ones are checked against: an index whose name was removed must
-// not get another name, since pending webhooks refer to it.
+// withRetiredNames returns the configuration with the names added that it removes from the one before. Later reloads are
+// checked against the result: the index of a removed name must not get another name, since pending webhooks refer to it.
 func (c configuration) withRetiredNames(before configuration) configuration {
 	c.catalog.EventTypes = withTail(c.catalog.EventTypes, before.catalog.EventTypes)
 	c.catalog.Tenants = withTail(c.catalog.Tenants, before.catalog.Tenants)
@@ -134,7 +134,7 @@
 	return c
 }
 
-// withTail appends the elements of an earlier, longer list.
+// withTail returns now, followed by the elements of before that lie beyond the end of now.
 func withTail[T any](now, before []T) []T {
 	return slices.Concat(now, before[min(len(now), len(before)):])
 }
