--- a/webhook/dispatcher/callback/sender.go
+++ b/webhook/dispatcher/callback/sender.go
@@ -38,7 +38,8 @@
 	line []byte
 }
 
-// New returns a Sender to the platform's address. acknowledged is called with the webhooks whose callbacks arrived.
+// New returns a Sender that sends to the platform's address. acknowledged is called with the webhooks whose callbacks the
+// platform has acknowledged, or rejected as malformed.
 func New(address string, counters *inflight.Counters, acknowledged func([]api.WebhookID)) *Sender {
 	return &Sender{
 		counters:     counters,
@@ -49,7 +50,7 @@
 	}
 }
 
-// newClient returns a client that may retry a call by itself: callbacks are idempotent.
+// newClient returns an HTTP client that may retry a request by itself, since callbacks are idempotent.
 func newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{Addr: address, MaxConns: 1, ReadTimeout: callTimeout, WriteTimeout: callTimeout}
 }
@@ -110,7 +111,7 @@
 	case malformed && len(batch) == 1: // it will never be accepted: dropped, so that later ones are sent
 		slog.Error("callback rejected as malformed", "line", string(batch[0].line))
 	case err != nil || status != fasthttp.StatusNoContent:
-		if malformed { // one of the batch: from now on each is sent alone
+		if malformed { // one callback of the batch is malformed: from now on each is sent alone
 			s.batchSize = 1
 		}
 		s.counters.CallbackBatchesFailed.Add(1)
--- a/webhook/dispatcher/discovery/client.go
+++ b/webhook/dispatcher/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the endpoint list up to date: it starts from the list that this dispatcher stored last and watches
-// the registry for changes.
+// Package discovery keeps the endpoint list up to date: it starts with the endpoint list stored in the configuration and
+// watches the registry for changes.
 package discovery
 
 import (
@@ -14,10 +14,12 @@
 	"rowanlink/webhook/refresh"
 )
 
-// LinePeriod is the interval of a watch's heartbeats, given by the protocol: empty lines while nothing changes.
+// LinePeriod is the interval of a watch's heartbeats, which the protocol sets: the registry sends empty lines while nothing
+// changes.
 const LinePeriod = 2 * time.Second
 
-// UpdateFunc takes a list, with the address of each of its entries. Endpoints that a complete list lacks are removed.
+// UpdateFunc applies an endpoint list; addresses[i] is the address of entries[i]. Endpoints that a complete list lacks are
+// removed.
 type UpdateFunc func(entries []api.EndpointEntry, addresses []string, complete bool)
 
 // Scheduler decides when each request begins and what it may take; refresh.Scheduler is one.
@@ -34,7 +36,7 @@
 	Address   string // host:port of the registry
 	Catalog   config.Catalog
 	Scheduler Scheduler
-	MaxObject int // bytes of one list
+	MaxObject int // bytes of one list at most
 	// RetainNames is how long the name of a removed endpoint keeps its number: as long as a call to it may be in flight or
 	// pending.
 	RetainNames api.Micros
@@ -122,7 +124,7 @@
 	return c.address, c.addressChanged
 }
 
-// LoadStored takes a list that the dispatcher stored, before Run.
+// LoadStored applies a stored endpoint list. It may be called only before Run.
 func (c *Client) LoadStored(object gjson.Result) error { return c.handleList(object) }
 
 // handleList reads one list object and passes it on.
@@ -161,8 +163,8 @@
 	return n
 }
 
-// forgetRemoved records which endpoints are removed, and drops those removed long ago: since endpoints are replaced all day,
-// they would use up memory.
+// forgetRemoved records which endpoints are removed, and forgets those removed longer ago than the retention: endpoints are
+// replaced all day, so that removed ones would use up memory.
 func (c *Client) forgetRemoved(isListed map[string]bool, complete bool) {
 	now := time.Now()
 	retention := c.currentRetention()
--- a/webhook/dispatcher/discovery/list.go
+++ b/webhook/dispatcher/discovery/list.go
@@ -12,14 +12,14 @@
 	"rowanlink/webhook/config"
 )
 
-// statuses maps the registry's names of an instance's state.
+// statuses maps the registry's lifecycle names of an instance to endpoint statuses.
 var statuses = map[string]api.EndpointStatus{
 	"SERVING":  api.EndpointActive,
 	"DRAINING": api.EndpointDraining,
 	"DELETED":  api.EndpointRemoved,
 }
 
-// endpointList is one list object of the registry.
+// endpointList is one list object as received from the registry.
 type endpointList struct {
 	generation int64
 	complete   bool
@@ -84,7 +84,7 @@
 	}
 }
 
-// indexOrLen returns a name's index; an unknown one has the index past the last.
+// indexOrLen returns a name's index, or len(names) for an unknown name.
 func indexOrLen(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
--- a/webhook/dispatcher/discovery/stream.go
+++ b/webhook/dispatcher/discovery/stream.go
@@ -10,8 +10,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// readObjects reads object after object, in any layout, until one is malformed or the stream ends. The changes that it held
-// aren't lost: the next watch starts from the last generation that was read.
+// readObjects reads list objects, in any JSON layout, until one is malformed or the stream ends. The changes in a malformed
+// object aren't lost: the next watch starts from the last generation that was read.
 func (c *Client) readObjects(ctx context.Context, body io.Reader) error {
 	for {
 		in := &objectReader{in: body, maxSize: c.maxObject, onBlank: c.recordActivity}
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// objectReader reads as far as one object needs, without the blanks before it: a watch sends them all day, and the decoder
-// would buffer them.
+// objectReader limits the decoder to maxSize bytes for one object, and drops the blanks before the object: a watch sends
+// blank lines all day, and the decoder would buffer them.
 type objectReader struct {
 	in            io.Reader
 	size, maxSize int
--- a/webhook/dispatcher/discovery/watch.go
+++ b/webhook/dispatcher/discovery/watch.go
@@ -28,7 +28,7 @@
 		address, changed := c.currentAddress()
 		request := c.scheduler.Next(reason, c.currentCatalog().PushedLists)
 		select {
-		case <-changed: // it was the old address that failed
+		case <-changed: // the last watch failed at the old address, so this request needn't be delayed for it
 			reason = refresh.AddressChanged
 			continue
 		case <-time.After(request.Delay.Duration()):
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	closeConnection := func() { _ = connection.Close() } // the reader sees it
+	closeConnection := func() { _ = connection.Close() } // a pending read returns with an error
 	defer context.AfterFunc(ctx, closeConnection)()
 	defer closeConnection()
 	if err := c.sendRequest(connection, address); err != nil {
@@ -112,7 +112,7 @@
 	return out.Flush()
 }
 
-// deadlineReader bounds the response header by one deadline, and afterwards each read by the idle time-out.
+// deadlineReader applies one deadline to the whole response header, and after that the idle time-out to each read.
 type deadlineReader struct {
 	connection    net.Conn
 	responseUntil time.Time // zero once the header was received
--- a/webhook/dispatcher/lifecycle/lifecycle.go
+++ b/webhook/dispatcher/lifecycle/lifecycle.go
@@ -13,7 +13,7 @@
 	killAfter         = 3700 * time.Millisecond // SIGKILL is sent no earlier
 )
 
-// The graceful shutdown, as parts of that schedule.
+// The steps of the graceful shutdown, as fractions of that schedule.
 const (
 	drainFor     = newConnectionsFor * 5 / 4
 	deliverUntil = killAfter * 6 / 10
@@ -66,10 +66,10 @@
 	return p >= Serving && p < Finishing
 }
 
-// Shutdown goes from Serving to Finishing and returns when the process may stop. New webhooks are accepted until clients open no more
-// connections; calls are started for as long as their answers can still be in time, and those in flight are waited
-// for. What remains stays in the write-ahead log. Clients are answered with a rejection until they have left: closing their
-// connections earlier would lose requests.
+// Shutdown takes the process from Serving to Finishing and returns when it may stop. New webhooks are accepted until
+// clients open no more connections. Calls are started as long as their answers can still arrive in time, and calls in
+// flight are waited for; what remains stays in the write-ahead log. Clients that are still connected are answered with a
+// rejection: closing their connections earlier would lose requests.
 func (l *Lifecycle) Shutdown(isEmpty func() bool, callsInFlight func() int, clientsGone func() bool) {
 	begun := time.Now()
 	waitUntil := func(limit time.Duration, done func() bool) {
--- a/webhook/dispatcher/wal/log.go
+++ b/webhook/dispatcher/wal/log.go
@@ -1,7 +1,7 @@
 // Package wal is the dispatcher's write-ahead log. It keeps what must survive the process: each accepted webhook, each
 // delivery attempt before its first byte, each result, and each final callback until it was delivered. It is one file of
-// records that is appended to and compacted when it grows. Data written survives the process without a sync, but not the
-// machine.
+// records that is appended to and compacted when it grows. The file is not synced: data written survives a crash of the
+// process, but not one of the machine.
 package wal
 
 import (
@@ -26,11 +26,12 @@
 
 const (
 	bytesPerMB = 1_000_000
-	// reserveFraction: one part in so many of the disk stays free for calls and results of webhooks that are pending.
+	// reserveFraction is the divisor for the part of the disk limit that Accept leaves free, for the calls and results of
+	// pending webhooks.
 	reserveFraction = 16
 )
 
-// Log is the file and what is in it. It belongs to one goroutine.
+// Log holds the file, and in memory the entries that are in it. It may be used by one goroutine only.
 type Log struct {
 	dir             string
 	file            *os.File
@@ -39,10 +40,11 @@
 	liveSize        int // of the file if it were compacted
 	entries         map[api.WebhookID]*Entry
 	pending         []byte // records for the next Commit
-	needsCompaction bool   // the file may lack what was recorded
+	needsCompaction bool   // the file may lack records: the next Commit rewrites it
 }
 
-// Open reads what an earlier incarnation left in the folder, which is never filled beyond diskMB.
+// Open opens the log in a folder and reads what an earlier incarnation left there. The folder never holds more than diskMB
+// megabytes.
 func Open(dir string, diskMB float64) (*Log, error) {
 	if dir == "" {
 		return nil, errors.New("write-ahead log: no folder is named")
@@ -71,7 +73,7 @@
 
 func (l *Log) path(name string) string { return filepath.Join(l.dir, name) }
 
-// replay applies a stored record. Kinds of a later release are ignored.
+// replay applies a stored record. Unknown kinds, which a later release may have written, are ignored.
 func (l *Log) replay(r storedRecord) {
 	e := l.entries[r.id]
 	switch {
@@ -107,7 +109,7 @@
 	}
 }
 
-// Entries returns all webhooks that are pending or whose callback is, in the order of acceptance.
+// Entries returns all webhooks that are pending, or whose callback has yet to be delivered, in the order of acceptance.
 func (l *Log) Entries() []*Entry {
 	all := make([]*Entry, 0, len(l.entries))
 	for _, e := range l.entries {
@@ -117,7 +119,8 @@
 	return all
 }
 
-// Accept records a webhook. It fails with ErrFull where the file couldn't be compacted beside the present one.
+// Accept records a webhook. It fails with ErrFull if the disk limit would leave no space to write a compacted file beside
+// the present one.
 func (l *Log) Accept(id api.WebhookID, payload []byte) error {
 	e := &Entry{ID: id, Payload: payload, MayHaveRunAt: api.Never}
 	if 2*(l.liveSize+e.size())+l.maxSize/reserveFraction > l.maxSize {
@@ -150,7 +153,7 @@
 	return nil
 }
 
-// SetPriorAttempts records the attempts that were made elsewhere, and the first that may have run.
+// SetPriorAttempts replaces the attempts recorded for a webhook by those given, which include attempts made elsewhere.
 func (l *Log) SetPriorAttempts(id api.WebhookID, attempts int, mayHaveRunAt api.Micros, zone api.ZoneID) {
 	e := l.Pending(id)
 	if e == nil {
@@ -203,8 +206,8 @@
 	l.needsCompaction = true
 }
 
-// Commit writes all that was recorded since the last one. Only then may it be acted on. After an error nothing of it
-// counts as written; the next Commit writes the complete state.
+// Commit writes all that was recorded since the last Commit. The caller may act on it only after that. After an error none
+// of it counts as written; the next Commit writes the complete state.
 func (l *Log) Commit() error {
 	if len(l.pending) == 0 && !l.needsCompaction {
 		return nil
@@ -215,8 +218,9 @@
 	n, err := l.file.Write(l.pending)
 	l.pending = l.pending[:0]
 	if err != nil {
-		// A webhook that a full disk has stored in part was rejected, and its client submits it elsewhere: without the
-		// truncation a kill before the next Commit would leave a part of it in the file.
+		// The caller rejects the webhooks of a failed Commit, and their clients submit them elsewhere. A full disk may have
+		// taken some of their records: without the truncation they would stay in the file if the process were killed before
+		// the next Commit.
 		l.needsCompaction = true
 		return fmt.Errorf("write-ahead log: %w", errors.Join(err, l.file.Truncate(int64(l.size))))
 	}
@@ -251,5 +255,5 @@
 	return nil
 }
 
-// Close closes the file, which stays.
+// Close closes the file, which stays on disk.
 func (l *Log) Close() error { return l.file.Close() }
--- a/webhook/dispatcher/wal/record.go
+++ b/webhook/dispatcher/wal/record.go
@@ -8,7 +8,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Kinds of record, as they are stored.
+// Kinds of records. The letters are stored.
 const (
 	kindAccepted  = 'A' // attempts, first that may have run, its zone, payload
 	kindCall      = 'C' // time, zone
@@ -35,7 +35,7 @@
 	MayHaveRunAt api.Micros // start of the first attempt that may have run, or Never
 	Zone         api.ZoneID // of that attempt's endpoint
 	Finished     bool
-	Callback     []byte // to be delivered since it finished
+	Callback     []byte // to be delivered once Finished is set
 
 	lastCallIsFirst bool // the last call is the first that may have run
 }
@@ -121,15 +121,15 @@
 	return to
 }
 
-// storedRecord is one record as it was read.
+// storedRecord is one record as read from the file.
 type storedRecord struct {
 	kind byte
 	id   api.WebhookID
 	rest []byte
 }
 
-// nextRecord reads the first record of a file's content; false: there is no further complete record. A process killed in
-// the middle of a write leaves a torn tail, which was not acted on.
+// nextRecord reads the first record of a file's content; ok is false if there is no further complete record. A process
+// killed during a write leaves an incomplete record at the end; nothing was done yet that relies on it.
 func nextRecord(content []byte) (record storedRecord, remaining []byte, ok bool) {
 	if len(content) < recordHeaderLen {
 		return storedRecord{}, nil, false
