--- a/webhook/dispatcher/server/client_conn.go
+++ b/webhook/dispatcher/server/client_conn.go
@@ -15,16 +15,16 @@
 // headEnd ends the head of an HTTP request.
 const headEnd = "\r\n\r\n"
 
-// clientConn is one client's connection. It counts the bytes of each request: with a Content-Length that is less than what
-// has arrived, the rest of the webhook would be read as another request.
+// clientConn is one client's connection. It counts the bytes of each request: if the Content-Length were less than what has
+// arrived, the rest of the webhook would be read as another request.
 type clientConn struct {
 	*net.TCPConn
 	listener *limitListener
-	since    api.Micros // in its list since then
+	since    api.Micros // when it was put into its list
 	list     *list.List // pending or idle; nil while the webhook that it carries is decided on
 	element  *list.Element
 	closed   bool
-	webhooks int // carried so far, up to the last class of idle connections
+	webhooks int // carried so far, counted up to idleClasses-1
 
 	received   int // bytes of this request
 	headLength int // of this request, once its head is complete
@@ -57,7 +57,8 @@
 	_ = c.TCPConn.Close() // nobody reads from it or writes to it any more
 }
 
-// beginWebhook notes that the connection's webhook is decided on from now on, and reports whether it is still open.
+// beginWebhook records that the connection waits for the answer to a webhook from now on, and so can't be evicted. It
+// reports whether the connection is still open.
 func (c *clientConn) beginWebhook() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -68,7 +69,7 @@
 	return !c.closed
 }
 
-// finishRequest notes that the answer is written.
+// finishRequest records that the answer is written: the connection is idle, and may be evicted if too many are.
 func (c *clientConn) finishRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -82,14 +83,15 @@
 	if !c.listener.hasTooManyIdle() {
 		return
 	}
-	// longestIdle also removes connections whose next request has arrived from the idle ones.
+	// longestIdle also moves connections whose next request has arrived to the pending ones, so the idle ones are counted
+	// again.
 	if victim := c.listener.longestIdle(); c.listener.hasTooManyIdle() {
 		victim.evict()
 	}
 }
 
-// beginRequest notes that an idle connection has a request, and reports whether it is still open. Until then nothing of
-// the request is read, so that none is dropped after a part of it was read.
+// beginRequest records that a request has arrived on an idle connection, and reports whether the connection is still open.
+// Nothing of the request is read before that, so that no request is dropped after a part of it was read.
 func (c *clientConn) beginRequest() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// Read reads and notes where the head of the request ends.
+// Read implements net.Conn. It also counts the bytes of the request and finds the end of its head.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if c.received == 0 {
 		if err := c.waitForRequest(); err != nil {
--- a/webhook/dispatcher/server/listener.go
+++ b/webhook/dispatcher/server/listener.go
@@ -13,11 +13,11 @@
 // pendingGrace is how long a new connection is kept in any case: a well-behaved client sends its request at once.
 const pendingGrace = inflight.AnswerTimeout / 2
 
-// idleClasses are the classes of idle connections, by how many webhooks they have carried: none, one, more.
+// idleClasses is the number of classes of idle connections, by how many webhooks they have carried: none, one, or more.
 const idleClasses = 3
 
-// limitListener accepts a limited number of connections at once. At the limit, a connection that doesn't wait for an answer
-// is closed: silent clients, incomplete requests and idle connections can't keep well-behaved clients out.
+// limitListener limits the number of open connections. At the limit it closes a connection that doesn't wait for an answer,
+// so that silent clients, incomplete requests and idle connections can't keep well-behaved clients out.
 type limitListener struct {
 	net.Listener
 	maxOpen int
@@ -32,7 +32,7 @@
 	idle       [idleClasses]list.List // connections that were answered, the longest idle first
 }
 
-// newLimitListener returns a listener that has yet to be given the one that it wraps.
+// newLimitListener returns a limitListener; the caller sets its Listener field before Accept.
 func newLimitListener(maxOpen, maxIdle int) *limitListener {
 	l := &limitListener{maxOpen: max(maxOpen, 1), maxIdle: max(maxIdle, 1)}
 	l.freed = sync.NewCond(&l.mu)
--- a/webhook/dispatcher/server/request.go
+++ b/webhook/dispatcher/server/request.go
@@ -16,7 +16,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Reasons for which a webhook is invalid, as they are answered to its client.
+// Reasons for which a webhook is invalid. The texts are sent to the client.
 var (
 	errAmbiguousLength    = errors.New("more than one thing tells where the body ends")
 	errSurplus            = errors.New("more has come than the webhook's length")
@@ -43,12 +43,12 @@
 
 const (
 	microsPerMillisecond = 1000
-	maxTimeoutTTLs       = 2 // a client may wait for so many TTLs of its event type
+	maxTimeoutTTLs       = 2 // a client's time-out is at most this many TTLs of its event type
 	unknownTenant        = math.MaxUint32
 	destinationPrefix    = "dest="
 )
 
-// parseSettings are what webhooks are parsed by.
+// parseSettings are the settings that webhooks are parsed with.
 type parseSettings struct {
 	config.Catalog
 	eventTypes []api.EventType
@@ -56,7 +56,7 @@
 
 // parseWebhook reads the few fields that decisions need; body, id and key stay as they were received.
 func (s *Server) parseWebhook(ctx *fasthttp.RequestCtx, connection *clientConn) (*inflight.Webhook, error) {
-	now := inflight.Now() // the webhook's time counts from before
+	now := inflight.Now() // before parsing, since the webhook's deadline counts from its receipt
 	header := &ctx.Request.Header
 	if err := checkFraming(ctx, connection); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	return n
 }
 
-// isPlain reports whether a text can be part of a header, a bundle's line and a callback as it is.
+// isPlain reports whether a text can be written to a header, a bundle's line and a callback without escaping.
 func isPlain(text string) bool {
 	isSpecial := func(r rune) bool { return r <= ' ' || r >= 0x7f || r == '"' || r == '\\' }
 	return text != "" && len(text) <= maxIDLength && !strings.ContainsFunc(text, isSpecial)
@@ -172,7 +172,7 @@
 	return 0, broadcastList, nil
 }
 
-// parseDestination finds `dest=7` among the parts of a route.
+// parseDestination returns the destination that is a part of a route, as in `dest=7`.
 func parseDestination(text string) (api.DestinationID, bool) {
 	isSeparator := func(r rune) bool { return strings.ContainsRune(";,& ", r) }
 	for _, part := range strings.FieldsFunc(text, isSeparator) {
@@ -184,7 +184,7 @@
 	return 0, false
 }
 
-// parseOrderingKey hashes the key; 0 is no key.
+// parseOrderingKey returns the hash of an ordering key, or 0 if there is no key.
 func parseOrderingKey(key []byte) api.OrderingKey {
 	if len(key) == 0 {
 		return 0
--- a/webhook/dispatcher/server/server.go
+++ b/webhook/dispatcher/server/server.go
@@ -24,7 +24,8 @@
 const (
 	maxBody     = 64 << 10 // bytes
 	maxIDLength = 128      // bytes
-	// readTimeout is how long a client may be silent within a request: it waits two fifths of that for its answer.
+	// readTimeout is how long a client may be silent within a request; the client itself waits two fifths of that for its
+	// answer.
 	readTimeout = 5 * time.Microsecond * time.Duration(inflight.AnswerTimeout) / 2
 	idleTimeout = 2 * time.Second // an idle connection may be closed after it
 )
@@ -38,7 +39,7 @@
 	parsing    atomic.Pointer[parseSettings]
 	http       fasthttp.Server
 	listener   *limitListener
-	lastLogged atomic.Int64 // second in which a malformed webhook was last logged
+	lastLogged atomic.Int64 // Unix time in seconds at which an invalid request was last counted
 }
 
 // New returns a server with at most maxOpen connections, maxIdle of them idle.
@@ -66,7 +67,7 @@
 	return s
 }
 
-// UpdateSettings has later webhooks parsed by other settings.
+// UpdateSettings applies other settings to webhooks that are parsed from now on.
 func (s *Server) UpdateSettings(settings api.Settings, catalog config.Catalog) {
 	s.parsing.Store(&parseSettings{Catalog: catalog, eventTypes: settings.EventTypes})
 }
@@ -77,7 +78,8 @@
 	return s.http.Serve(s.listener)
 }
 
-// ClientsGone reports whether no client is connected any more, nor will connect again for an answer that it missed.
+// ClientsGone reports whether no client is connected any more, and none is expected to connect again because it missed an
+// answer.
 func (s *Server) ClientsGone() bool { return s.listener.isDeserted() }
 
 // Close stops listening and waits for requests that are being answered, at most until the time-out.
@@ -88,7 +90,7 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	defer func() { // last, since an error resets the answer
+	defer func() { // deferred, since ctx.Error resets the response
 		if !s.lifecycle.Ready() { // clients that are still connected are to use another dispatcher
 			ctx.SetConnectionClose()
 		}
@@ -110,7 +112,7 @@
 	}
 }
 
-// handleWebhook receives one webhook. It is answered when it is decided whether it is accepted.
+// handleWebhook receives one webhook and answers once it is accepted or rejected.
 func (s *Server) handleWebhook(ctx *fasthttp.RequestCtx) {
 	connection := ctx.Conn().(*clientConn)
 	w, err := s.parseWebhook(ctx, connection)
@@ -186,7 +188,7 @@
 	}
 }
 
-// recordMalformed counts requests that can't be used, and logs one of each second, so that they can't flood the log.
+// recordMalformed counts an invalid request, and logs at most one per second, so that they can't flood the log.
 func (s *Server) recordMalformed(reason error) {
 	s.inbox.Malformed.Add(1)
 	if now := time.Now().Unix(); s.lastLogged.Swap(now) != now {
--- a/webhook/dispatcher/upstream/call.go
+++ b/webhook/dispatcher/upstream/call.go
@@ -20,7 +20,7 @@
 	webhooks   []*inflight.Webhook
 	startedAt  api.Micros
 	timeout    api.Micros
-	latest     api.Micros // it does not begin after that
+	latest     api.Micros // the call must not begin later
 	connection *connection
 	cancelled  bool
 }
@@ -43,7 +43,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.endpoints[id]
-	if e == nil { // removed and forgotten: without a result the webhook would wait for ever
+	if e == nil { // it was removed and forgotten; without a result the webhook would wait for ever
 		for _, a := range attempts {
 			c.onResult(a.Webhook, api.AttemptResult{Webhook: a.Webhook.ID, Endpoint: id, Outcome: api.NotSent})
 		}
@@ -61,8 +61,8 @@
 	}
 }
 
-// newCall counts a call; the caller holds the lock. The shortest time-out applies to all its webhooks: none may continue
-// after its webhook was reported as timed out.
+// newCall registers a call as in flight; the caller holds the lock. The shortest time-out of its webhooks applies to the
+// whole call: it must not go on after one of them was reported as timed out.
 func (c *Client) newCall(e *endpoint, attempts []Attempt) *call {
 	k := &call{endpoint: e, startedAt: inflight.Now(), timeout: math.MaxInt64, latest: math.MaxInt64}
 	for _, a := range attempts {
@@ -101,7 +101,7 @@
 	}
 }
 
-// finish updates the state of the client after a call.
+// finish updates the client's state after a call, and sets the outcome of a cancelled one.
 func (c *Client) finish(k *call, result *callResult, connection *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// connectAndCall calls on an idle connection, or else on a new one. If data or an end arrives on an idle connection
-// before the last byte of the call is written, the call has not been made, and another connection is used.
+// connectAndCall makes the call on an idle connection, or else on a new one. If the other side sends data or closes an idle
+// connection before the last byte of the call is written, the call has not been made, and another connection is used.
 func (c *Client) connectAndCall(k *call) (callResult, *connection) {
 	for {
 		connection, isNew, err := c.connect(k)
@@ -143,7 +143,7 @@
 	}
 }
 
-// connect returns an idle connection or opens one; nil: there is no space for one.
+// connect returns an idle connection or opens one; it returns nil if the limit of open connections doesn't allow one.
 func (c *Client) connect(k *call) (connection *connection, isNew bool, err error) {
 	connection, hasSpace := c.acquire(k.endpoint)
 	if connection != nil || !hasSpace {
@@ -162,7 +162,8 @@
 	return connection, true, err
 }
 
-// callOn makes the call on a connection. made is false where nothing was sent and another connection may be tried.
+// callOn makes the call on a connection. made is false if the call can't have run, since it wasn't written completely, and
+// another connection may be tried.
 func (c *Client) callOn(connection *connection, k *call, isNew bool) (result callResult, made bool) {
 	mayBegin, cancelled := c.begin(connection, k)
 	if !mayBegin || !c.mayCall(k) {
@@ -177,7 +178,7 @@
 	switch written := connection.write(encodeRequest(k, remaining), until, stillAllowed); {
 	case written:
 		return c.receive(connection, k, until, isNew), true
-	case !stillAllowed(): // the lease ended between the first and the last byte: it never ran
+	case !stillAllowed(): // the lease ended between the first and the last byte: the call never ran
 		return callResult{outcome: api.NotSent}, true
 	case isNew || !time.Now().Before(until):
 		return callResult{outcome: api.ConnectFailed}, true
--- a/webhook/dispatcher/upstream/client.go
+++ b/webhook/dispatcher/upstream/client.go
@@ -1,5 +1,5 @@
-// Package upstream calls endpoints, on connections of its own. It makes each call once, retries nothing and decides nothing;
-// results are reported webhook by webhook.
+// Package upstream makes the calls to endpoints, on connections that it manages. It makes each call once, retries nothing
+// and decides nothing, and reports a result for each webhook.
 package upstream
 
 import (
@@ -14,14 +14,15 @@
 // defaultRestTimeout bounds the rest of an answer where no idle limit is configured.
 const defaultRestTimeout = api.Second / 4
 
-// Parts of the time after which the other side closes an idle connection.
+// Fractions of the time after which the other side closes an idle connection. Idle connections are closed well before the
+// other side does so, since a call that is sent while the other side closes would end as a reset.
 const (
-	idleTimeoutNumerator   = 4 // idle connections are closed well before the other side does so, ...
-	idleTimeoutDenominator = 5 // ... since a call that crosses its close would end as a reset
+	idleTimeoutNumerator   = 4
+	idleTimeoutDenominator = 5
 	restTimeoutDenominator = 16
 )
 
-// ResultFunc takes the result of a webhook's part in a call. It is called from the call's own goroutine.
+// ResultFunc receives the result that a call had for one of its webhooks. It is called from the call's own goroutine.
 type ResultFunc func(w *inflight.Webhook, result api.AttemptResult)
 
 // Client manages the connections and the calls in flight. It is safe for concurrent use.
@@ -29,8 +30,8 @@
 	counters       *inflight.Counters
 	onResult       ResultFunc
 	connectTimeout atomic.Int64 // µs
-	idleTimeout    atomic.Int64 // µs; an idle connection is closed after so long
-	restTimeout    atomic.Int64 // µs; an answer that has begun is complete after so long
+	idleTimeout    atomic.Int64 // µs after which an idle connection is closed
+	restTimeout    atomic.Int64 // µs within which an answer that has begun must be complete
 	maxOpen        int
 
 	mu              sync.Mutex
@@ -65,7 +66,7 @@
 	idle      []*connection // in the order of their last use
 }
 
-// New returns a pool of at most maxOpen connections. A connectTimeout of 0 leaves the connect to the attempt's time-out;
+// New returns a Client with at most maxOpen connections. A connectTimeout of 0 leaves the connect to the attempt's time-out;
 // idleLimit is the time after which the other side closes idle connections, 0 where it isn't known.
 func New(counters *inflight.Counters, onResult ResultFunc, connectTimeout, idleLimit api.Micros, maxOpen int) *Client {
 	c := &Client{
@@ -80,7 +81,7 @@
 	return c
 }
 
-// UpdateSettings takes the settings for calls from now on; those in flight end under the old ones.
+// UpdateSettings applies settings to calls from now on; calls in flight keep the previous ones.
 func (c *Client) UpdateSettings(connectTimeout, idleLimit api.Micros, kinds []api.DestinationKind) {
 	if connectTimeout <= 0 {
 		connectTimeout = math.MaxInt64
@@ -101,7 +102,7 @@
 	}
 }
 
-// UpdateEndpoint takes over an entry of the endpoint list.
+// UpdateEndpoint applies an entry of the endpoint list.
 func (c *Client) UpdateEndpoint(entry api.EndpointEntry, addr string, kind api.DestinationKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +177,7 @@
 	}
 	k.cancelled = true
 	if k.connection != nil {
-		_ = k.connection.Close() // the call's goroutine sees it and discards the connection
+		_ = k.connection.Close() // the call's goroutine gets an error and discards the connection
 	}
 }
 
--- a/webhook/dispatcher/upstream/connection.go
+++ b/webhook/dispatcher/upstream/connection.go
@@ -30,9 +30,9 @@
 	return &connection{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize)}, nil
 }
 
-// isQuiet reports, without waiting, whether the other side has neither sent nor ended anything that was not read. A call
-// written to a closed connection would end as a reset that may have run, and surplus bytes of one answer would be
-// read as the next one.
+// isQuiet reports, without waiting, whether no unread data has arrived and the other side hasn't closed the connection. A
+// call written to a closed connection would end as a reset, after which it may have run, and surplus bytes after one answer
+// would be read as the next answer.
 func (c *connection) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -41,9 +41,9 @@
 	return quiet
 }
 
-// write writes a call and reports whether it did; if not, the call never ran. Nothing that arrives before the call's last
-// byte is written can be an answer to it, so the connection, and whether the call may still be made, are checked once
-// more before that byte.
+// write writes a call and reports whether it is written completely; if not, the call never ran. Data that arrives before
+// the call's last byte is written can't be an answer to it. Therefore the connection is checked once more before that
+// byte, as is whether the call may still be made.
 func (c *connection) write(request []byte, until time.Time, stillAllowed func() bool) bool {
 	last := len(request) - 1
 	if last < 0 || c.SetDeadline(until) != nil {
--- a/webhook/dispatcher/upstream/pool.go
+++ b/webhook/dispatcher/upstream/pool.go
@@ -8,7 +8,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// acquire returns a usable idle connection, the one used last, or makes space for a new one.
+// acquire returns the usable idle connection that was used last. If there is none, hasSpace reports whether a new one may
+// be opened, which is then counted as open; an idle connection to another endpoint may be closed for it.
 func (c *Client) acquire(e *endpoint) (idle *connection, hasSpace bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,7 @@
 	c.open--
 }
 
-// discardOldest makes space by closing the connection that is idle for longest; false: there is none.
+// discardOldest makes space by closing the connection that has been idle for longest. It returns false if none is idle.
 func (c *Client) discardOldest() bool {
 	var oldest *endpoint
 	for _, e := range c.endpoints {
--- a/webhook/dispatcher/upstream/request.go
+++ b/webhook/dispatcher/upstream/request.go
@@ -12,14 +12,14 @@
 
 const microsPerMillisecond = 1000
 
-// encodeRequest returns a call as it is written; remaining is the time left for its answer.
+// encodeRequest encodes a call as an HTTP request; remaining is the time left for its answer.
 func encodeRequest(k *call, remaining api.Micros) []byte {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	fillRequest(request, k, remaining)
 	var out bytes.Buffer
 	if _, err := request.WriteTo(&out); err != nil {
-		slog.Error("call not encoded", "err", err) // never: what was submitted is plain text
+		slog.Error("call not encoded", "err", err) // can't happen: the texts of a webhook were checked when it was submitted
 	}
 	return out.Bytes()
 }
--- a/webhook/dispatcher/upstream/response.go
+++ b/webhook/dispatcher/upstream/response.go
@@ -28,7 +28,7 @@
 	final   bool
 }
 
-// bundleResults maps the protocol's names of results.
+// bundleResults maps the names of results in the answer to a bundle.
 var bundleResults = map[string]itemResult{
 	"delivered": {api.Delivered, false},
 	"failed":    {api.ErrorResponse, false},
@@ -37,19 +37,20 @@
 	"spent":     {api.NotSent, false},
 }
 
-// readAnswer reads the answer to a call. Once any data has arrived the call has reached the endpoint: with a malformed answer
-// it may have run, however the answer begins, and its slot is freed early, whatever length the answer states.
+// readAnswer reads the answer to a call. Once any data has arrived, the call has reached the endpoint. If the answer is
+// malformed, the call may have run, even if the status says otherwise, and its slot is freed early, whatever length the
+// answer states.
 func (c *Client) readAnswer(connection *connection, k *call, until time.Time) callResult {
 	head, err := connection.readHead(until, api.Micros(c.restTimeout.Load()))
 	if len(head) == 0 {
-		if !time.Now().Before(until) { // by the clock: not every error distinguishes a deadline from a broken connection
+		if !time.Now().Before(until) { // the clock decides: not every error tells a deadline from a broken connection
 			return callResult{outcome: api.TimedOut}
 		}
 		return callResult{outcome: api.ConnectionReset}
 	}
 	malformed := callResult{outcome: api.ErrorResponse}
 	isBundle := len(k.webhooks) > 1
-	if !isBundle && deliveredLine.Match(head) { // whatever the rest is: a retry would be a duplicate
+	if !isBundle && deliveredLine.Match(head) { // even if the rest is malformed: a retry would be a duplicate
 		malformed.outcome = api.Delivered
 	}
 	if err != nil || !hasOneLength(head) {
@@ -68,7 +69,7 @@
 	surplus := connection.reader.Buffered() > 0 || !quiet && !ended
 	result.reusable = !response.ConnectionClose() && quiet && !surplus
 	if surplus && result.perWebhook == nil && result.outcome != api.Delivered {
-		result.outcome = api.ErrorResponse // its length may be wrong: the outcome is unknown
+		result.outcome = api.ErrorResponse // the stated length may be wrong, so the outcome is unknown
 		result.final = false
 	}
 	return result
