--- a/webhook/dispatcher/discovery/client.go
+++ b/webhook/dispatcher/discovery/client.go
@@ -53,8 +53,8 @@
 	ready      func()
 	scheduler  Scheduler
 	maxObject  int
-	generation int64                // of the last list that was read
-	endpoints  map[string]*numbered // by instance id
+	generation int64                      // of the last list that was read
+	endpoints  map[string]*endpointNumber // by instance id
 	lastNumber api.EndpointID
 
 	mu             sync.Mutex
@@ -64,8 +64,8 @@
 	addressChanged chan struct{} // closed when the address changes
 }
 
-// numbered is an endpoint's number, which is never used for another endpoint, and when the endpoint was removed.
-type numbered struct {
+// endpointNumber holds an endpoint's number, which is never used for another endpoint, and the time of its removal.
+type endpointNumber struct {
 	id        api.EndpointID
 	removedAt time.Time // zero: it is listed
 }
@@ -81,7 +81,7 @@
 		update:         o.Update,
 		malformed:      o.Malformed,
 		ready:          sync.OnceFunc(o.Ready),
-		endpoints:      map[string]*numbered{},
+		endpoints:      map[string]*endpointNumber{},
 		addressChanged: make(chan struct{}),
 	}
 }
@@ -153,11 +153,11 @@
 }
 
 // number returns an endpoint's number, and gives it one if it is new.
-func (c *Client) number(instanceID string) *numbered {
+func (c *Client) number(instanceID string) *endpointNumber {
 	n := c.endpoints[instanceID]
 	if n == nil {
 		c.lastNumber++
-		n = &numbered{id: c.lastNumber}
+		n = &endpointNumber{id: c.lastNumber}
 		c.endpoints[instanceID] = n
 	}
 	return n
--- a/webhook/dispatcher/server/listener.go
+++ b/webhook/dispatcher/server/listener.go
@@ -108,9 +108,9 @@
 	return n > l.maxIdle
 }
 
-// isDeserted reports whether no connection is open, nor has been for so long that a client whose connection was closed
+// clientsGone reports whether no connection is open, nor has been for so long that a client whose connection was closed
 // during its request would have connected again.
-func (l *limitListener) isDeserted() bool {
+func (l *limitListener) clientsGone() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open == 0 && inflight.Now()-l.lastClosed > inflight.AnswerTimeout
--- a/webhook/dispatcher/server/server.go
+++ b/webhook/dispatcher/server/server.go
@@ -80,7 +80,7 @@
 
 // ClientsGone reports whether no client is connected any more, and none is expected to connect again because it missed an
 // answer.
-func (s *Server) ClientsGone() bool { return s.listener.isDeserted() }
+func (s *Server) ClientsGone() bool { return s.listener.clientsGone() }
 
 // Close stops listening and waits for requests that are being answered, at most until the time-out.
 func (s *Server) Close(timeout time.Duration) error {
