--- a/webhook/dispatcher/discovery/client_test.go
+++ b/webhook/dispatcher/discovery/client_test.go
@@ -17,11 +17,11 @@
 	"rowanlink/webhook/refresh"
 )
 
-// fakeRegistry answers each request as the test says, and records the requests.
+// fakeRegistry answers each request with the test's handler, and records the requests.
 type fakeRegistry struct {
 	addr     string
 	mu       sync.Mutex
-	requests []string // since which generation
+	requests []string // the generation after which each asks for changes
 }
 
 // startRegistry starts a registry; answer is called with the number of the request, from 1 on.
@@ -130,8 +130,8 @@
 	}
 }
 
-// Guards against a request, the first one included, that isn't scheduled: all dispatchers that start, or whose address
-// changes, would send it at once.
+// Guards against a request, the first one included, that bypasses the Scheduler: all dispatchers that start, or whose
+// registry address changes, would send it at the same time.
 func TestEachRequestIsScheduled(t *testing.T) {
 	scheduler := &countingScheduler{Scheduler: refresh.New(1, api.Second)}
 	var requests, unscheduled atomic.Int64
--- a/webhook/dispatcher/discovery/clock_test.go
+++ b/webhook/dispatcher/discovery/clock_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, []string{"0", "1", "2"}, d.recorded()[:3])
 }
 
-// An incomplete object ends in a time-out, too, and counts as malformed.
+// A watch that stops within an object times out too, and the incomplete object counts as malformed.
 func TestListThatStopsHalfWayTimesOut(t *testing.T) {
 	d := startRegistry(t, func(n int, w http.ResponseWriter, r *http.Request) {
 		writeChunks(w, list(n)[:20*n])
--- a/webhook/dispatcher/e2e/clients_test.go
+++ b/webhook/dispatcher/e2e/clients_test.go
@@ -94,7 +94,8 @@
 	return open
 }
 
-// Guards against many clients that send one request and stay connected: they would displace the connections that are reused.
+// Guards against clients that send one request each and stay connected: many of them would displace the connections that
+// other clients reuse.
 func TestManyIdleConnectionsDoNotDisplaceReusedOnes(t *testing.T) {
 	env := startEnvironment(t, "token")
 	raw := env.sendRaw("u0", "Content-Length: 1\r\n\r\nx")
@@ -112,7 +113,7 @@
 		defer func() { _ = conn.Close() }()
 		idle = append(idle, conn)
 		_, _ = fmt.Fprint(conn, liveRequest)
-		_, _ = io.ReadFull(conn, make([]byte, 12)) // the connection may have been closed for its idle time
+		_, _ = io.ReadFull(conn, make([]byte, 12)) // the dispatcher may have closed the idle connection
 		if i == 399 {
 			assert.LessOrEqual(t, countOpen(t, idle), 1024/6, "idle connections leave capacity to others")
 		}
--- a/webhook/dispatcher/e2e/helpers_test.go
+++ b/webhook/dispatcher/e2e/helpers_test.go
@@ -1,5 +1,5 @@
 // Package e2e_test runs the complete dispatcher: its program, started and killed as in service, between a client, endpoints
-// and a platform that the test plays on loopback.
+// and a platform that the test itself serves on loopback.
 package e2e_test
 
 import (
@@ -97,7 +97,7 @@
 	output                          *synchronizedBuffer
 }
 
-// settings has one verb, the delivery semantics of the event type `status`.
+// settings has one formatting verb, the delivery semantics of the event type `status`.
 const settings = `{"classes":[{"aim":2500000000,"deadline":9000000000,"group":"all","name":"status",
  "repeat":"%s","window":8000000000,"worth":1,"lateValue":0.3},
  {"aim":1,"deadline":9000000000,"repeat":"pure"}],
@@ -284,7 +284,7 @@
 	})
 }
 
-// suspendFor suspends the process for a span, as happens to one that gets a fraction of a core.
+// suspendFor suspends the process for a time, as the scheduler does to one that gets a fraction of a core.
 func (env *environment) suspendFor(span time.Duration) {
 	assert.NoError(env.t, env.process.Process.Signal(syscall.SIGSTOP))
 	time.Sleep(span)
--- a/webhook/dispatcher/e2e/pushed_list_test.go
+++ b/webhook/dispatcher/e2e/pushed_list_test.go
@@ -14,7 +14,7 @@
 	env.writeConfig(strings.Replace(env.readConfig(), `"fleetSize":1,`, `"fleetSize":1,"registryMode":"push",`, 1))
 }
 
-// A new process is bound by the list that its agent already has, while its stored list may name removed endpoints.
+// A new process must wait for the list that its agent already has, since its stored list may name removed endpoints.
 func TestNewProcessMakesNoCallsByItsStoredListBeforeTheAgentAnswered(t *testing.T) {
 	env := startEnvironment(t, "token")
 	for i := range 5 {
@@ -35,7 +35,7 @@
 	assert.Empty(t, env.recordedCalls())
 }
 
-// While discovery is down, its agent is silent: the stored list is the only one, and calls must not wait for another.
+// While discovery is down, its agent doesn't answer: the stored list is the only one, and calls must not wait for another.
 func TestNewProcessWithASilentAgentDeliversByItsStoredList(t *testing.T) {
 	env := startEnvironment(t, "token")
 	env.kill()
--- a/webhook/dispatcher/e2e/removed_settings_test.go
+++ b/webhook/dispatcher/e2e/removed_settings_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against a call in flight that is lost, retried or ended by other terms because its endpoint, its destination or its
-// event type is removed from the list and the settings.
+// Guards against a call in flight that is lost, retried or ended by other settings than its own because its endpoint, its
+// destination or its event type is removed from the list and the settings.
 func TestCallsInFlightSurviveTheRemovalOfTheirSettings(t *testing.T) {
 	env := startEnvironment(t, "token")
 	env.kill()
@@ -96,7 +96,7 @@
 }
 
 // Guards against a duplicate and against a lost webhook when an event type is removed while one of its webhooks is pending:
-// over the reload the webhook keeps its terms, over a restart it is not retried.
+// after a reload the webhook is still delivered by the settings of its event type, after a restart it is not retried.
 func TestRemovedEventTypeIsNotRetriedAfterARestart(t *testing.T) {
 	for name, eventTypesAfterRestart := range map[string][]string{
 		"removed":                            nil,
--- a/webhook/dispatcher/e2e/settings_test.go
+++ b/webhook/dispatcher/e2e/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against SIGHUP ending the process, and against a watch and callbacks that stay with the old address.
+// Guards against SIGHUP ending the process, and against a watch and callbacks that keep using the old address.
 func TestSIGHUPMovesWatchAndCallbacksAndAnInvalidFileChangesNothing(t *testing.T) {
 	env := startEnvironment(t, "side_effect")
 	env.handleCalls(failCall)
@@ -155,7 +155,7 @@
 	s.submitBurst("c")
 	require.Greater(t, len(s.accepted), 30)
 	s.awaitOutcomes()
-	time.Sleep(time.Second / 2) // a duplicate would come by the next backoff, as would a second callback
+	time.Sleep(time.Second / 2) // a duplicate or a second callback would arrive within the next backoff
 	s.update(func() {
 		for _, id := range s.accepted {
 			// The answer to a call shortly before the kill may not have arrived.
--- a/webhook/dispatcher/e2e/shutdown_test.go
+++ b/webhook/dispatcher/e2e/shutdown_test.go
@@ -25,7 +25,7 @@
 	return conns
 }
 
-// Guards against a process that exits while clients still have connections: requests that they had sent were lost.
+// Guards against a process that exits while clients still have connections: requests that they have sent would be lost.
 func TestAfterSIGTERMEachRequestOnAnOpenConnectionIsAnswered(t *testing.T) {
 	env := startEnvironment(t, "token")
 	conns := env.dialClients(140) // fewer than the limit of idle connections
--- a/webhook/dispatcher/eventloop/cluster_test.go
+++ b/webhook/dispatcher/eventloop/cluster_test.go
@@ -13,8 +13,8 @@
 
 const longTTL = 90 * api.Second
 
-// Guards against two members that call for one webhook: a webhook whose destination another member owns is accepted, pending
-// over a restart and not called here, and it is finished here once it was transferred.
+// Guards against two members making calls for the same webhook. A member accepts a webhook whose destination another member
+// owns, keeps it parked across a restart without a call, and forgets it once it was transferred.
 func TestWebhookOfAnotherOwnerIsParkedOverARestartAndTransferred(t *testing.T) {
 	dir := t.TempDir()
 	loop := startClusterLoop(t, dir, longTTL)
@@ -33,7 +33,7 @@
 	assert.Empty(t, startClusterLoop(t, dir, longTTL).parkedWebhooks(), "a restart doesn't bring it back")
 }
 
-// Guards against a duplicate: the attempt of an earlier owner counts for the next one.
+// Guards against a duplicate delivery: an attempt that an earlier owner of the destination made counts at the next owner.
 func TestAtMostOnceWebhookThatMayHaveRunAtAnotherMemberIsNotRetried(t *testing.T) {
 	loop := startClusterLoop(t, t.TempDir(), longTTL)
 	loop.fake.callsAllowed = true
@@ -46,8 +46,9 @@
 	assert.EqualValues(t, 1, loop.inbox.DeadLettered.Load(), "it never ran, and is retried")
 }
 
-// Guards against two members that call for one webhook: in doubt it waits, also at the owner of its destination and after a
-// restart, until the doubt is resolved. If it may have run meanwhile and may run only once, it is dead-lettered at once.
+// Guards against two members making calls for the same webhook. A webhook in doubt stays parked, even at the owner of its
+// destination and after a restart, until the doubt is resolved. If it may have run by then and may run only once, it is
+// dead-lettered at once.
 func TestWebhookInDoubtIsNotCalledUntilResolved(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -82,8 +83,8 @@
 	}
 }
 
-// Guards against a webhook that is offered to another member and called here as well: only parked webhooks are marked, and a
-// marked one is not called, whoever owns its destination by then.
+// Guards against calls for a webhook that is offered to another member: only parked webhooks are marked as in doubt, and
+// this member makes no call for a marked one, even if it owns the destination by then.
 func TestOfferedWebhookIsNotCalledHere(t *testing.T) {
 	loop := startClusterLoop(t, t.TempDir(), longTTL)
 	assert.Equal(t, inflight.Accepted, loop.submit(newWebhook("a1", longTTL)))
@@ -99,7 +100,7 @@
 	assert.EqualValues(t, 1, loop.inbox.DeadLettered.Load())
 }
 
-// Guards against a webhook that is lost while the owner of its destination is gone.
+// Guards against a parked webhook that never gets a result because the owner of its destination is gone.
 func TestParkedWebhookEndsBeforeItsTTL(t *testing.T) {
 	const ttl = api.Second / 5
 	loop := startClusterLoop(t, t.TempDir(), ttl)
--- a/webhook/dispatcher/eventloop/ending_test.go
+++ b/webhook/dispatcher/eventloop/ending_test.go
@@ -9,7 +9,7 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// The latency target counts from the first submission, which the TTL gives at every member.
+// The latency target counts from the first submission. Every member computes its time as the deadline less the TTL.
 func TestLateCountsFromTheFirstSubmission(t *testing.T) {
 	loop := &Loop{
 		now:      100,
--- a/webhook/dispatcher/eventloop/helpers_test.go
+++ b/webhook/dispatcher/eventloop/helpers_test.go
@@ -31,13 +31,13 @@
 func (c *fakeCluster) RateShare(api.DestinationID) float64  { return 1 }
 func (c *fakeCluster) IsInDoubt(inflight.RequestID) bool    { return c.inDoubt }
 
-// testLoop is a Loop whose turns the test takes.
+// testLoop is a Loop without its goroutine: the test itself calls turn.
 type testLoop struct {
 	*Loop
 	fake *fakeCluster // nil without a cluster
 }
 
-// startTestLoop starts a Loop on the log in dir; a nil cluster has it run alone.
+// startTestLoop starts a Loop on the log in dir; with a nil cluster it is no cluster member.
 func startTestLoop(t *testing.T, dir string, eventType api.EventType, cluster *fakeCluster) *testLoop {
 	t.Helper()
 	log, err := wal.Open(dir, 1)
@@ -89,7 +89,7 @@
 	return answer
 }
 
-// duringTurns takes turns until do, which waits for some of them, has returned.
+// duringTurns runs do, which waits for turns of the loop, and takes turns until it has returned.
 func (l *testLoop) duringTurns(do func()) {
 	done := make(chan struct{})
 	go func() {
@@ -114,19 +114,19 @@
 	return all
 }
 
-// allowCalls has the cluster allow calls, and waits until the loop has taken that into account.
+// allowCalls has the cluster allow calls, and waits until the loop has reevaluated its webhooks.
 func (l *testLoop) allowCalls() {
 	l.fake.callsAllowed = true
 	l.duringTurns(func() { l.runInTurn(l.reevaluate) })
 }
 
-// handOneToRelay hands a webhook with so many attempts to a relay, and reports whether it is handed over.
+// handOneToRelay hands a webhook to a relay, with the number of attempts expected, and reports whether that succeeded.
 func (l *testLoop) handOneToRelay(id inflight.RequestID, attempts int, at api.Micros) (ok bool) {
 	l.duringTurns(func() { ok = l.HandToRelay(map[inflight.RequestID]int{id: attempts}, at) })
 	return ok
 }
 
-// finishDelivered ends a webhook by a relay's result, a delivery.
+// finishDelivered ends a webhook with a relay's result that says that it was delivered.
 func (l *testLoop) finishDelivered(id inflight.RequestID) (written bool) {
 	result := inflight.Result{RequestID: id, Status: inflight.StatusDelivered}
 	l.duringTurns(func() { written = l.FinishByRelay([]inflight.Result{result}) })
--- a/webhook/dispatcher/eventloop/relay_test.go
+++ b/webhook/dispatcher/eventloop/relay_test.go
@@ -31,7 +31,8 @@
 	assert.Empty(t, startClusterLoop(t, dir, ttl).parkedWebhooks())
 }
 
-// Guards against a duplicate: a webhook that may have run at the relay and may run only once is dead-lettered here.
+// Guards against a duplicate delivery: a webhook that may have run at the relay and may run only once is dead-lettered after
+// it was taken back.
 func TestWebhookTakenBackFromARelayIsCalledOnlyIfItNeverRan(t *testing.T) {
 	for _, c := range []struct {
 		name             string
--- a/webhook/dispatcher/server/server_test.go
+++ b/webhook/dispatcher/server/server_test.go
@@ -41,7 +41,8 @@
 	return conn.(*clientConn)
 }
 
-// Guards against a request that has arrived and is lost because its connection is closed for another one.
+// Guards against losing a request that has arrived but isn't read yet, because its connection is closed to make room for
+// another one.
 func TestConnectionWithAnUnreadRequestIsNotEvicted(t *testing.T) {
 	for _, limitReached := range []bool{false, true} {
 		limited := newLimitListener(2, 1)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Guards against a request that waits for an answer from an event loop that has ended or is about to.
+// Guards against a request that waits in vain for an answer from an event loop that has ended or is about to.
 func TestStoppedDispatcherRejectsAtOnce(t *testing.T) {
 	life := &lifecycle.Lifecycle{}
 	life.Enter(lifecycle.Stopped)
--- a/webhook/dispatcher/upstream/client_test.go
+++ b/webhook/dispatcher/upstream/client_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against a malformed answer that is trusted, occupies its slot for the whole time-out, or has its Retry-After applied.
+// Guards against trusting a malformed answer, keeping its slot for the whole time-out, and applying its Retry-After.
 func TestMalformedAnswerMayHaveRunAndFreesItsSlotEarly(t *testing.T) {
 	const complete = "HTTP/1.1 503 Shut\r\nContent-Length: 0\r\n\r\n"
 	for text, want := range map[string]api.Outcome{
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against a bundle's malformed answer that is accepted in part: all its webhooks may have run.
+// Guards against accepting a part of a bundle's malformed answer: all webhooks of the bundle may have run.
 func TestBundleAnswerIsAcceptedOnlyIfComplete(t *testing.T) {
 	for body, want := range map[string]map[api.Outcome]int{
 		"a delivered\r\nb refused\r\n":              {api.Delivered: 1, api.Rejected: 1},
--- a/webhook/dispatcher/upstream/connections_test.go
+++ b/webhook/dispatcher/upstream/connections_test.go
@@ -13,7 +13,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Guards against memory that grows with all endpoints that ever were, and against a webhook sent to a forgotten one.
+// Guards against memory use that grows with every endpoint ever listed, and against a webhook without a result because it
+// was sent to a forgotten endpoint.
 func TestRemovedEndpointIsForgottenOnceNothingIsInFlight(t *testing.T) {
 	client := startClient(serveConnections(t, answerEach("200 OK")))
 	client.call(api.Second)
@@ -24,7 +25,7 @@
 	assert.Equal(t, api.NotSent, client.call(api.Second).outcome)
 }
 
-// Guards against a connection limit that is taken for the destination's rate limit: window and rate would fall.
+// Guards against mistaking a connection limit for the destination's rate limit, which would lower its window and rate.
 func TestConnectionLimitIsDistinguishedFromTheDestinationsRateLimit(t *testing.T) {
 	const refusal = "503 Shut\r\nConnection: close"
 	for head, want := range map[string]webhookResult{
@@ -99,7 +100,8 @@
 	assert.Equal(t, api.NotSent, client.call(api.Second).outcome, "draining")
 }
 
-// Guards against a duplicate: the connection may be established only after the destination has forgotten the token.
+// Guards against a duplicate delivery: by the time that the connection is established, the destination may have forgotten
+// the webhook's token.
 func TestCallIsNotMadeAfterItsLatestStart(t *testing.T) {
 	calls := make(chan bool, 9)
 	countCalls := func(conn net.Conn, reader *bufio.Reader) {
--- a/webhook/dispatcher/upstream/helpers_test.go
+++ b/webhook/dispatcher/upstream/helpers_test.go
@@ -57,13 +57,13 @@
 	c.UpdateEndpoint(entry, address, api.DestinationKind{BatchSize: 1})
 }
 
-// setStatus updates testEndpoint, as lists do that say no more than its status.
+// setStatus updates testEndpoint with a list entry that has only a status.
 func (c *testClient) setStatus(status api.EndpointStatus) {
 	entry := api.EndpointEntry{Endpoint: testEndpoint, Destination: testDestination, Status: status}
 	c.UpdateEndpoint(entry, "", api.DestinationKind{})
 }
 
-// send calls testEndpoint with one webhook; its result comes to results.
+// send starts a call to testEndpoint with one webhook; the result arrives on results.
 func (c *testClient) send(timeout api.Micros) {
 	c.lastID++
 	c.Send(testEndpoint, []Attempt{newAttempt(c.lastID, "a", timeout)})
@@ -86,7 +86,8 @@
 // connectionHandler serves one connection of an endpoint.
 type connectionHandler func(conn net.Conn, reader *bufio.Reader)
 
-// serveConnections accepts one connection after the other, runs the next handler on each, and returns the address.
+// serveConnections listens and returns the address. It accepts one connection after the other and runs the next handler on
+// each.
 func serveConnections(t *testing.T, handlers ...connectionHandler) string {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/webhook/dispatcher/upstream/may_call_test.go
+++ b/webhook/dispatcher/upstream/may_call_test.go
@@ -11,7 +11,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against two dispatchers that call at once: if the lease ends before a call's first byte, or between its first and
+// Guards against two dispatchers calling a destination at once: if the lease ends before a call's first byte, or between its first and
 // last byte, the destination never receives a complete request, and that is not counted as its failure.
 func TestCallWhoseLeaseEndsBeforeItsLastByteIsNotMade(t *testing.T) {
 	for _, allowedChecks := range []int{0, 1} {
--- a/webhook/dispatcher/wal/log_test.go
+++ b/webhook/dispatcher/wal/log_test.go
@@ -22,7 +22,7 @@
 	return l
 }
 
-// entries returns what the next incarnation finds.
+// entries returns the entries that the next incarnation reads from the log.
 func entries(t *testing.T, dir string) []*Entry {
 	t.Helper()
 	return open(t, dir).Entries()
@@ -36,7 +36,7 @@
 	l.RecordCall(7, 100, 0) // refused: it never ran
 	l.RecordNeverRan(7)
 	l.RecordCall(7, 200, 1) // failed: it may have run
-	l.RecordCall(7, 300, 0) // refused again, which proves nothing about the one before
+	l.RecordCall(7, 300, 0) // refused again, which proves nothing about the attempt before
 	l.RecordNeverRan(7)
 	require.NoError(t, l.Commit())
 	for range 2 { // read from the records, then from the compacted file
