--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -44,9 +44,9 @@
 	defaultDiskMB   = 3
 )
 
-// Fractions of the limits. heapShare and listShare divide the memory: for the Go heap, and for one endpoint list before
-// it is parsed. The others divide the file descriptors: for clients' connections, for the idle ones among them, and for
-// connections to endpoints. Well-behaved clients use at most a third of the descriptors, and leave half of that third
+// Fractions of the limits. heapShare and listShare are parts of the memory, for the Go heap and for one endpoint list
+// before it is parsed. The others are parts of the file descriptors, for clients' connections, for the idle ones among
+// them, and for connections to endpoints. Well-behaved clients use at most a third of the descriptors, and leave half of that third
 // idle.
 const (
 	heapShare       = 0.6
--- a/webhook/dispatcher/e2e/removed_settings_test.go
+++ b/webhook/dispatcher/e2e/removed_settings_test.go
@@ -23,7 +23,7 @@
 	env.writeConfig(strings.Replace(env.readConfig(), last, all, 1))
 }
 
-// reload has the process reload its configuration, and waits until it has so many event types.
+// reload has the process reload its configuration, and waits until it has the given number of event types.
 func (env *environment) reload(eventTypes int) {
 	env.t.Helper()
 	reloads := func() int { return strings.Count(env.output.String(), "configuration reloaded") }
--- a/webhook/dispatcher/eventloop/cluster.go
+++ b/webhook/dispatcher/eventloop/cluster.go
@@ -7,8 +7,8 @@
 	"rowanlink/webhook/dispatcher/inflight"
 )
 
-// Cluster tells the Loop of a cluster member which destinations it may call, and how much. Its methods are called from the
-// loop's goroutine and must not block.
+// Cluster tells the Loop of a cluster member which destinations it may call, and with which share of their rates. Its
+// methods are called from the loop's goroutine and must not block.
 type Cluster interface {
 	// MayCall reports whether this member may call the destination now.
 	MayCall(destination api.DestinationID, ordered bool) bool
@@ -26,7 +26,7 @@
 	l.parkedByKey = map[orderingGroup][]api.WebhookID{}
 }
 
-// mayCall reports whether a webhook's destination may be called from here.
+// mayCall reports whether this member may make a call for a webhook now.
 func (l *Loop) mayCall(w *inflight.Webhook) bool {
 	if l.cluster == nil {
 		return true
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -139,7 +139,7 @@
 	return <-empty && l.upstream.InFlight() == 0
 }
 
-// UpdateSettings applies other settings from the next turn on. What exceeds a lowered limit is not dropped, but drains. It
+// UpdateSettings applies new settings from the next turn on. What exceeds a lowered limit is not dropped, but drains. It
 // may be called from any goroutine.
 func (l *Loop) UpdateSettings(settings api.Settings, eventTypes []string, idleTimeout api.Micros) {
 	l.inbox.Post(func() {
--- a/webhook/dispatcher/eventloop/result.go
+++ b/webhook/dispatcher/eventloop/result.go
@@ -32,8 +32,8 @@
 	return true
 }
 
-// isRecoveredResult reports whether an entry's callback is a result for another member, and stores it: it must not be sent
-// to the platform.
+// storeRecoveredResult stores an entry's callback if it is a result for another member, which must not be sent to the
+// platform, and reports whether it is one.
 func (l *Loop) isRecoveredResult(e *wal.Entry) bool {
 	result, ok := inflight.DecodeResult(e.Callback)
 	if !ok {
--- a/webhook/dispatcher/inflight/result.go
+++ b/webhook/dispatcher/inflight/result.go
@@ -6,7 +6,7 @@
 	"rowanlink/webhook/api"
 )
 
-// Status tells another member, to which a webhook's result goes, how the webhook ended.
+// Status is how a webhook ended, as it is reported to another member.
 type Status uint8
 
 // Statuses. The numbers are stored and sent: they never change.
--- a/webhook/dispatcher/reload.go
+++ b/webhook/dispatcher/reload.go
@@ -123,8 +123,9 @@
 	return next, config.CheckReload(current.settings, next.settings, current.catalog, next.catalog)
 }
 
-// withRetiredNames returns the configuration with the names added that it removes from the one before. Later reloads are
-// checked against the result: the index of a removed name must not get another name, since pending webhooks refer to it.
+// withRetiredNames returns the configuration extended by the names that only the previous one has. Later reloads are checked
+// against the result: the index of a removed name must not get another name, since pending webhooks refer to names by
+// index.
 func (c configuration) withRetiredNames(before configuration) configuration {
 	c.catalog.EventTypes = withTail(c.catalog.EventTypes, before.catalog.EventTypes)
 	c.catalog.Tenants = withTail(c.catalog.Tenants, before.catalog.Tenants)
--- a/webhook/dispatcher/server/client_conn.go
+++ b/webhook/dispatcher/server/client_conn.go
@@ -69,7 +69,8 @@
 	return !c.closed
 }
 
-// finishRequest records that the answer is written: the connection is idle, and may be evicted if too many are.
+// finishRequest records that the answer is written and the connection is idle. If too many connections are idle then, it
+// closes one of them.
 func (c *clientConn) finishRequest() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -155,7 +156,7 @@
 	}
 }
 
-// hasExactly reports whether exactly one request with so many bytes of body has arrived.
+// hasExactly reports whether what has arrived is exactly one request, whose body has the given number of bytes.
 func (c *clientConn) hasExactly(body int) bool {
 	return c.headLength > 0 && c.received == c.headLength+body
 }
--- a/webhook/dispatcher/server/listener.go
+++ b/webhook/dispatcher/server/listener.go
@@ -108,8 +108,8 @@
 	return n > l.maxIdle
 }
 
-// clientsGone reports whether no connection is open, nor has been for so long that a client whose connection was closed
-// during its request would have connected again.
+// clientsGone reports whether no connection is open, and the last one was closed longer than AnswerTimeout ago: a client
+// whose connection was closed during its request would have connected again by then.
 func (l *limitListener) clientsGone() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/webhook/dispatcher/server/server.go
+++ b/webhook/dispatcher/server/server.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-// UpdateSettings applies other settings to webhooks that are parsed from now on.
+// UpdateSettings applies new settings to webhooks that are parsed from now on.
 func (s *Server) UpdateSettings(settings api.Settings, catalog config.Catalog) {
 	s.parsing.Store(&parseSettings{Catalog: catalog, eventTypes: settings.EventTypes})
 }
--- a/webhook/dispatcher/upstream/may_call_test.go
+++ b/webhook/dispatcher/upstream/may_call_test.go
@@ -11,8 +11,9 @@
 	"rowanlink/webhook/api"
 )
 
-// Guards against two dispatchers calling a destination at once: if the lease ends before a call's first byte, or between its first and
-// last byte, the destination never receives a complete request, and that is not counted as its failure.
+// Guards against two dispatchers calling a destination at once: if the lease ends before a call's first byte, or
+// between its first and last byte, the destination never receives a complete request, and that is not counted as its
+// failure.
 func TestCallWhoseLeaseEndsBeforeItsLastByteIsNotMade(t *testing.T) {
 	for _, allowedChecks := range []int{0, 1} {
 		complete := make(chan bool, 1)
--- a/webhook/dispatcher/upstream/pool.go
+++ b/webhook/dispatcher/upstream/pool.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Sweep closes connections that are idle for long, before the other side does so, and those that the other side has
-// ended. It forgets removed endpoints once no call to them is in flight.
+// Sweep closes connections that have been idle for long, before the endpoint does so, and those that the endpoint has
+// closed. It forgets removed endpoints once no call to them is in flight and their Retry-After has passed.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
