--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -99,7 +99,7 @@
 	l.scheduleSweep()
 	for _, e := range l.log.Entries() {
 		l.nextID = max(l.nextID, e.ID+1)
-		if e.Finished && l.isRecoveredResult(e) {
+		if e.Finished && l.storeRecoveredResult(e) {
 			continue
 		}
 		if e.Finished {
--- a/webhook/dispatcher/eventloop/result.go
+++ b/webhook/dispatcher/eventloop/result.go
@@ -34,7 +34,7 @@
 
 // storeRecoveredResult stores an entry's callback if it is a result for another member, which must not be sent to the
 // platform, and reports whether it is one.
-func (l *Loop) isRecoveredResult(e *wal.Entry) bool {
+func (l *Loop) storeRecoveredResult(e *wal.Entry) bool {
 	result, ok := inflight.DecodeResult(e.Callback)
 	if !ok {
 		return false
