--- a/webhook/dispatcher/eventloop/relay_test.go
+++ b/webhook/dispatcher/eventloop/relay_test.go
@@ -16,11 +16,11 @@
 	dir := t.TempDir()
 	loop := startClusterLoop(t, dir, ttl)
 	require.Equal(t, inflight.Accepted, loop.submit(newWebhook("w", ttl)))
-	assert.False(t, loop.handOneToRelay("w", 1, 7), "by the sender's number of attempts it was called here meanwhile")
+	assert.False(t, loop.handOneToRelay("w", 1, 7), "the number of attempts differs from the one in the log")
 	require.True(t, loop.handOneToRelay("w", 0, 7))
 	loop.allowCalls()
 	require.Len(t, loop.parkedWebhooks(), 1, "it stays parked although its destination may be called from here")
-	assert.EqualValues(t, 7, loop.parkedWebhooks()[0].MayHaveRunAt, "in the log before it is sent")
+	assert.EqualValues(t, 7, loop.parkedWebhooks()[0].MayHaveRunAt, "the handover is logged before the webhook is sent")
 
 	restarted := startClusterLoop(t, dir, ttl)
 	restarted.duringTurns(func() { restarted.RestoreAtRelay([]inflight.RequestID{"w"}) })
@@ -31,7 +31,8 @@
 	assert.Empty(t, startClusterLoop(t, dir, ttl).parkedWebhooks())
 }
 
-// Guards against a duplicate: a webhook that may have run at the relay and may run only once is dead-lettered here.
+// Guards against a duplicate delivery: a webhook that may have run at the relay and may run only once is dead-lettered after
+// it was taken back.
 func TestWebhookTakenBackFromARelayIsCalledOnlyIfItNeverRan(t *testing.T) {
 	for _, c := range []struct {
 		name             string
