--- a/cluster/raftnode/leadership.go
+++ b/cluster/raftnode/leadership.go
@@ -34,7 +34,7 @@
 const (
 	renewalAccepted renewalOutcome = iota
 	renewalSessionEnded
-	renewalNotLeader // this node does not lead, or closes
+	renewalNotLeader // this node does not lead, or is closing
 )
 
 // leadership identifies a period in which this node is the leader, by its raft term and its epoch in the lease table.
@@ -100,7 +100,7 @@
 }
 
 // assumeLeadership sets the deadline of each session and lets the node answer requests as leader. It does nothing if the
-// node has lost the leadership since beginLeadership, even if it was elected again in a later term.
+// node is halted or has lost the leadership since beginLeadership, even if it was elected again in a later term.
 func (n *Node) assumeLeadership(l leadership) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/cluster/raftnode/membership.go
+++ b/cluster/raftnode/membership.go
@@ -17,7 +17,8 @@
 
 // maintainMembership compares the raft configuration with the configured members every timing.ReconfigureInterval, until
 // the node closes. The leader adds and removes servers, one at a time. A node without a raft configuration bootstraps the
-// group or, if it exists, requests to join it. A node that is no voter or knows no leader requests to join as well.
+// group or, if the group already exists, requests to join it. A node that is no voter or knows no leader requests to
+// join as well.
 func (n *Node) maintainMembership() {
 	defer n.background.Done()
 	ticker := time.NewTicker(timing.ReconfigureInterval(n.sessionTTL).Duration())
@@ -97,8 +98,8 @@
 }
 
 // admitServer takes the next step to make a server a voter: it adds the server as a learner; once the learner has applied
-// an entry, it removes the server of the same member's lost folder, if there is one; then it promotes the learner. It
-// returns false if the server is a voter already, so that the caller may make another change.
+// an entry, it removes the member's former server, whose data folder was lost, if there is one; then it promotes the
+// learner. It returns false if the server is a voter already, so that the caller may make another change.
 func (n *Node) admitServer(servers []raft.Server, request transport.JoinRequest) bool {
 	id, timeout := raft.ServerID(request.ServerID), n.sessionTTL.Duration()
 	switch current := suffrage(servers, id); {
@@ -109,7 +110,7 @@
 			n.ServersJoined.Add(1)
 		}
 		return true
-	case request.AppliedIndex == 0: // the learner has not caught up
+	case request.AppliedIndex == 0: // the learner has not applied any entry yet
 		return true
 	}
 	lost := slices.IndexFunc(servers, func(s raft.Server) bool {
@@ -173,5 +174,6 @@
 	return hasVote
 }
 
-// IsVoter reports whether this node's server is a voter. A server of the member's former, lost folder does not count.
+// IsVoter reports whether this node's server is a voter. The member's former server, whose data folder was lost, does
+// not count.
 func (n *Node) IsVoter() bool { return suffrage(n.servers(), n.storage.id) == raft.Voter }
--- a/cluster/rebalance/assignment.go
+++ b/cluster/rebalance/assignment.go
@@ -42,7 +42,7 @@
 // rangeGroup is the ranges with the same owner and the same allowed members. They share a node, since
 // the network only has to decide how many of them move: those with the fewest keys move first.
 type rangeGroup struct {
-	ranges     []int // sorted by weight
+	ranges     []int // sorted by number of keys
 	node       int
 	arcToClass int
 	class      int // index of assignment.classes
@@ -89,9 +89,9 @@
 	return a
 }
 
-// addMembers adds a node for each member, with an arc to the sink whose cost keeps the member near its quota: up to the
-// quota and beyond it, each range costs more than the one before, and each such difference is larger than the cost of
-// all moves together.
+// addMembers adds a node for each member, with an arc to the sink whose cost keeps the member near its quota: up to
+// quota.low and from quota.high on, each range costs more than the one before, and each such difference is larger than
+// the cost of all moves together. Between quota.low and quota.high the cost is constant.
 func (a *assignment) addMembers() {
 	balanceCost := int64(1)
 	for i := range a.ranges {
@@ -124,7 +124,9 @@
 	}
 }
 
-// addRanges adds the nodes of ranges. Ranges that differ only in their number of keys share one.
+// addRanges adds the nodes of ranges. Ranges with the same owner and the same allowed members share a node, unless they
+// need one of their own: split-off ranges, and ranges that have forbidden placements, a move in flight, an
+// anti-affinity rule, or split-off ranges that follow them. The followers have no node.
 func (a *assignment) addRanges() {
 	needsOwnNode := make([]bool, len(a.ranges))
 	for p := range maps.Keys(a.forbidden) {
@@ -159,7 +161,7 @@
 	}
 }
 
-// classOf returns the index of the class with a key of allowedMembers. It adds the class if it is new.
+// classOf returns the index of the class with a key that allowedMembers returned. It adds the class if it is new.
 func (a *assignment) classOf(key string, members []int) int {
 	if k := slices.IndexFunc(a.classes, func(c targetClass) bool { return c.key == key }); k >= 0 {
 		return k
@@ -186,8 +188,9 @@
 	})
 }
 
-// addSingleRange adds a range with a node and arcs of its own. Exclusion nodes enforce the anti-affinity of ranges
-// under a single rule by member (see usesExclusionNodes); all other anti-affinity is enforced by forbidden placements.
+// addSingleRange adds a range with a node and arcs of its own. Exclusion nodes enforce the anti-affinity of a range
+// with only one anti-affinity rule, if that rule separates by member (see usesExclusionNodes); all other anti-affinity
+// is enforced by forbidden placements.
 func (a *assignment) addSingleRange(i int) {
 	node := a.net.AddNode()
 	a.singles = append(a.singles, singleRange{rangeIndex: i, node: node})
--- a/cluster/rebalance/impactmeter.go
+++ b/cluster/rebalance/impactmeter.go
@@ -12,8 +12,8 @@
 )
 
 // ImpactMeter counts the outcomes of webhooks at one member by destination, and measures the impact of a move by the
-// outcomes in its range since the move began. It has no clock: its callers pass the time. It is not safe for concurrent
-// use.
+// outcomes in its range since the count of the impact began: when the meter first saw the move, or when another plan
+// requested it. It has no clock: its callers pass the time. It is not safe for concurrent use.
 type ImpactMeter struct {
 	incarnation  uint64     // of the process
 	windowLength api.Micros // a baseline covers the last one to two windows
@@ -33,11 +33,11 @@
 // moveRecord is a monitored move, with the state when its impact began to be counted.
 type moveRecord struct {
 	MonitoredMove
-	number    uint64                         // of the plan that last requested it; 0: none yet
-	counts    map[api.DestinationID]Outcomes // when the count of the impact began
-	baseline  Outcomes
-	unhealthy []api.DestinationID // when the count of the impact began
-	lastSeen  api.Micros          // when the move was last seen open or requested
+	planNumber uint64                         // number of the last plan that requested the impact; 0: none yet
+	counts     map[api.DestinationID]Outcomes // outcomes when the count of the impact began
+	baseline   Outcomes
+	unhealthy  []api.DestinationID // unhealthy destinations when the count of the impact began
+	lastSeen   api.Micros          // when the move was last seen open or requested
 }
 
 // MonitoredMove is a move whose impact on its range a coordinator requests.
@@ -48,15 +48,15 @@
 	To    cluster.KeyHash `cbor:"4,keyasint"`
 }
 
-// RangeImpact is the impact of a move on its range as one member measured it: the outcomes since the move began, and
-// the baseline before it.
+// RangeImpact is the impact of a move on its range as one member measured it: the outcomes since the count of the
+// impact began, and the baseline before the move.
 type RangeImpact struct {
 	Move            shardmap.MoveID     `cbor:"1,keyasint"`
 	Range           cluster.RangeID     `cbor:"2,keyasint"`
 	During          Outcomes            `cbor:"3,keyasint"`
 	Baseline        Outcomes            `cbor:"4,keyasint"`
 	Unhealthy       []api.DestinationID `cbor:"5,keyasint,omitempty"`
-	UnhealthyBefore []api.DestinationID `cbor:"6,keyasint,omitempty"` // when the move began
+	UnhealthyBefore []api.DestinationID `cbor:"6,keyasint,omitempty"` // when the count of the impact began
 }
 
 // Report is a member's reply to a coordinator that requests the impact of moves.
@@ -71,7 +71,7 @@
 	// changes of load in a day. A move that is neither open nor requested is forgotten after the same time.
 	baselineTTLs = 8
 
-	// maxMonitoredMoves bounds the moves that a coordinator requests. Of more moves, it requests those that began last.
+	// maxMonitoredMoves bounds the moves that a coordinator requests. If there are more, it requests the newest.
 	maxMonitoredMoves = 64
 )
 
@@ -98,10 +98,11 @@
 	c.current = c.current.add(o)
 }
 
-// UnhealthyFunc returns the destinations of a range that are unhealthy now, as far as this member knows as its owner.
+// UnhealthyFunc returns the destinations of a range that are unhealthy now. It returns only what this member knows
+// if it owns the range.
 type UnhealthyFunc func(r shardmap.Range) []api.DestinationID
 
-// UnobservedMoves returns the ranges of open moves that ObserveMap has not seen yet.
+// UnobservedMoves returns the ranges of open moves that are not monitored yet.
 func (i *ImpactMeter) UnobservedMoves(m *shardmap.Map) (ranges []shardmap.Range) {
 	for _, r := range m.Ranges {
 		if r.Move.IsOpen() && i.moves[r.Move.ID] == nil {
@@ -189,10 +190,10 @@
 	for _, monitored := range moves[:min(len(moves), maxMonitoredMoves)] { // a request may hold any number of moves
 		r, _ := m.RangeByID(monitored.Range)
 		move := i.monitor(monitored, r, unhealthy, now)
-		if move.number != number && move.number != 0 {
+		if move.planNumber != number && move.planNumber != 0 {
 			i.restart(move, r, unhealthy)
 		}
-		move.number = number
+		move.planNumber = number
 		if impact := i.rangeImpact(move, unhealthy(r)); !impact.isEmpty() {
 			report.Ranges = append(report.Ranges, impact)
 		}
@@ -221,8 +222,8 @@
 	return i.During == (Outcomes{}) && i.Baseline == (Outcomes{}) && len(i.Unhealthy)+len(i.UnhealthyBefore) == 0
 }
 
-// MonitoredMoves returns the moves whose impact may stop the running plan, the last begun first: all moves that it has
-// begun, including those that are done, since the impact of a move may show only after its end. There are none once the
+// MonitoredMoves returns the moves whose impact may stop the running plan, newest first: all moves that it has begun,
+// including those that are done, since the impact of a move may show only after its end. There are none once the
 // plan is stopped or done, or if its file has no stop conditions.
 func (p *Progress) MonitoredMoves(f *planfile.File, m *shardmap.Map) (moves []MonitoredMove) {
 	isDone := p.DoneSteps() == len(p.Steps)
--- a/cluster/rebalance/rangesplit.go
+++ b/cluster/rebalance/rangesplit.go
@@ -89,8 +89,8 @@
 	return splits, after, nil
 }
 
-// splitRange returns the parts of a range after the given hashes, sorted, are split off, and the splits. It splits from
-// the highest hash down, since the lower part of each split keeps the range's ID and lease.
+// splitRange splits the given hashes, which are sorted, off a range. It returns the parts and the splits. It splits
+// from the highest hash down, since the lower part of each split keeps the range's ID and lease.
 func splitRange(r shardmap.Range, hashes []cluster.KeyHash, nextID cluster.RangeID) ([]shardmap.Range, []rangeSplit) {
 	parts := []shardmap.Range{r}
 	var splits []rangeSplit
@@ -118,8 +118,8 @@
 	return parts, splits
 }
 
-// splitKeyCounts returns the keys function for the map after the splits. It estimates the keys of a part by its share
-// of the width of its range; a part of a single hash has at least one.
+// splitKeyCounts returns a function that returns the number of keys of each range of the map `after`. It estimates
+// the keys of a part by its share of the width of its range; a part of a single hash has at least one.
 func splitKeyCounts(keys func(cluster.RangeID) uint64, before, after *shardmap.Map,
 	splits []rangeSplit) func(cluster.RangeID) uint64 {
 	if keys == nil || len(splits) == 0 {
@@ -157,16 +157,16 @@
 	}
 }
 
-// hasConstraintsOfBase reports whether the rules require nothing of a split-off range that they don't require of its
-// base range.
+// hasConstraintsOfBase reports whether a split-off range can be placed with its base range: no rule applies to it, or
+// it has the pin and the zone affinity of its base, no anti-affinity, and no other rule that names its destination.
 func (p *problem) hasConstraintsOfBase(i, base int) bool {
-	own, others := p.constraints[i], p.constraints[base]
+	own, ofBase := p.constraints[i], p.constraints[base]
 	if len(own.rules) == 0 {
 		return true
 	}
 	return len(own.antiAffinity) == 0 &&
-		isSameTarget(own.pin, others.pin) &&
-		isSameTarget(own.zone, others.zone) &&
+		isSameTarget(own.pin, ofBase.pin) &&
+		isSameTarget(own.zone, ofBase.zone) &&
 		!p.isNamedDestination(i)
 }
 
--- a/cluster/rebalance/sequencer.go
+++ b/cluster/rebalance/sequencer.go
@@ -28,7 +28,7 @@
 // such a member's index is also its slot.
 type sequencer struct {
 	*problem
-	target      []int              // by range, the member where it is placed
+	target      []int              // by range, the member where it will be placed
 	slotMembers []cluster.MemberID // by slot, its member, which may not be in the file
 
 	inFlight []move // moves that have begun; they need no order
@@ -146,7 +146,7 @@
 }
 
 // run finds an order of the moves. If no precedence makes a move wait and no member exceeds its capacity, orderByTrails
-// solves this exactly and fast; else it takes a search.
+// solves this exactly and fast; otherwise run calls search.
 func (s *sequencer) run() error {
 	for k := range s.file.Rules {
 		s.precedingByRule = append(s.precedingByRule, s.precedingRules(k))
@@ -176,8 +176,8 @@
 	return remaining
 }
 
-// precedencesAllow reports whether the precedences allow a move to start: no move by a rule that precedes one of its
-// rules remains.
+// precedencesAllow reports whether the precedences allow a move to start: every move that counts for a preceding
+// rule is done.
 func (s *sequencer) precedencesAllow(move int, remaining []int) bool {
 	for _, r := range s.moves[move].rules {
 		for _, preceding := range s.precedingByRule[r] {
@@ -202,8 +202,8 @@
 	return planfile.Precedence{}
 }
 
-// checkDeadlock rejects precedences that make moves wait for one another. That is possible without a cycle of
-// precedences where several rules apply to one range.
+// checkDeadlock rejects precedences that make moves wait for one another. If several rules apply to one range,
+// this can happen even though the precedences have no cycle.
 func (s *sequencer) checkDeadlock() error {
 	remaining, isDone := s.remainingByRule(), make([]bool, len(s.moves))
 	for hasChanged := true; hasChanged; {
@@ -263,9 +263,9 @@
 	return fmt.Sprintf("line %d, room = %d", s.members[slot].Line, s.members[slot].Capacity)
 }
 
-// allowsDetour reports whether a range may be on a member temporarily: the member is neither drained nor dedicated, and
-// the range's zone affinity and anti-affinity are satisfied there. A pin is ignored, since it states the final member.
-// Split-off ranges make no detours, as they need no capacity.
+// allowsDetour reports whether a range may be on a member temporarily: the member is neither end of the move, and
+// neither drained nor dedicated, and the range's zone affinity and anti-affinity are satisfied there. A pin is ignored,
+// since it states the final member. Split-off ranges make no detours, as they need no capacity.
 func (s *sequencer) allowsDetour(v move, member int) bool {
 	c := s.constraints[v.rangeIndex]
 	switch {
--- a/cluster/relay/sender_loop.go
+++ b/cluster/relay/sender_loop.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// wakeupUnlessBackingOff returns the wakeup channel. It returns nil, which never receives, if the stream could not be
-// opened: then Run waits for the whole backoff.
+// wakeupUnlessBackingOff returns the wakeup channel. It returns nil, which never receives, while the stream is not
+// open: then Run waits for the whole backoff.
 func (s *Sender) wakeupUnlessBackingOff(wait time.Duration) <-chan struct{} {
 	if !s.opened && wait > 0 {
 		return nil
@@ -72,8 +72,8 @@
 		return s.timing.PollInterval
 	}
 	return s.send(FramePath, transport.Encode(f), func(a stream.Ack) {
-		isBehindGap := a.Generation == f.Generation && a.LastSequence < f.Sequence
-		if isBehindGap {
+		isEarlierFrameMissing := a.Generation == f.Generation && a.LastSequence < f.Sequence
+		if isEarlierFrameMissing {
 			s.state.Retransmit()
 		}
 	})
@@ -144,14 +144,14 @@
 		return 0
 	}
 	s.lastContact = time.Now()
-	isSameFolder := true
+	isSameIncarnation := true
 	s.update(func() {
-		isSameFolder = s.state.HandleAck(a, s.now())
-		if isSameFolder {
+		isSameIncarnation = s.state.HandleAck(a, s.now())
+		if isSameIncarnation {
 			onAck(a)
 		}
 	})
-	if !isSameFolder {
+	if !isSameIncarnation {
 		s.markUnreachable()
 	}
 	return 0
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -20,9 +20,8 @@
 const relayCapacityShare = 1.0 / 2
 
 // relayRecord is a record of the relay's journal: a checkpoint or the state of a delivery. A delivery has a record from
-// the write of the frame that contained it until its origin has the result. The dispatcher's own journal has the
-// webhook for a shorter time, so a delivery without a result that is only in the relay's journal has yet to be
-// submitted.
+// the write of the frame that contained it until its origin has the result. The dispatcher's write-ahead log gets
+// the webhook later and drops it earlier. A delivery without a result that isn't in that log has yet to be submitted.
 type relayRecord struct {
 	Checkpoint     *stream.Checkpoint `cbor:"1,keyasint,omitempty"`
 	Delivery       stream.Delivery    `cbor:"2,keyasint"`
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -42,7 +42,8 @@
 			})
 		}
 	}
-	// The records are stored before the hand-over: a superfluous record only costs a request to the relay.
+	// The records are stored before the event loop hands the webhooks to the relay: a superfluous record only costs a
+	// request to the relay.
 	if err := s.sites.sentLog.add(records); err != nil {
 		return err
 	}
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -9,9 +9,9 @@
 	"rowanlink/webhook/api"
 )
 
-// destinationShare is the share of the free capacity that the pending deliveries of one subscriber may use. With 0.5, one
-// unhealthy subscriber can fill a third of the whole capacity, and any number of them leave some capacity free (Choudhury
-// and Hahne, Dynamic Queue Length Thresholds for Shared-Memory Packet Switches, 1998).
+// destinationShare is the share of the free capacity that the pending deliveries of one destination may use. With 0.5,
+// one unhealthy destination can fill a third of the whole capacity, and any number of them leave some capacity free
+// (Choudhury and Hahne, Dynamic Queue Length Thresholds for Shared-Memory Packet Switches, 1998).
 const destinationShare = 0.5
 
 // Checkpoint is a relay's position in the stream. The relay must store it in one write with the items of a frame before
@@ -52,8 +52,8 @@
 // Checkpoint returns the checkpoint to store.
 func (r *Receiver) Checkpoint() Checkpoint { return r.checkpoint }
 
-// Credit returns how many further deliveries a relay accepts in total, and how many may be in flight to one subscriber.
-// pending and capacity are the number of pending deliveries and its limit.
+// Credit returns how many further deliveries a relay accepts in total, and how many may be in flight to one
+// destination. pending and capacity are the number of pending deliveries and its limit.
 func Credit(pending, capacity int) (total, perDestination int) {
 	total = max(capacity-pending, 0)
 	return total, max(1, int(destinationShare*float64(total)))
@@ -78,9 +78,9 @@
 func (r *Receiver) ReservedCredit() int { return int(r.credit - min(r.checkpoint.Received, r.credit)) }
 
 // Open begins a generation, which ends all earlier ones. The caller must store the checkpoint before it sends the ack.
-// Of request.Sent, Open returns the deliveries that are pending or have an unacknowledged result. Those of the others
-// that were sent to this incarnation of the folder were never received and never will be. This also holds if the error
-// is cluster.ErrFenced: the relay accepts no more frames of a generation that it rejects.
+// Of request.Sent, Open returns the deliveries that are pending or have an unacknowledged result. Any other
+// delivery of request.Sent that was sent to this incarnation of the folder was never received and never will be. This
+// also holds if the error is cluster.ErrFenced: the relay accepts no more frames of a generation that it rejects.
 func (r *Receiver) Open(request OpenRequest) (known []Delivery, err error) {
 	r.rollback = nil
 	generation := request.Generation
@@ -156,7 +156,8 @@
 }
 
 // addPending adds the unknown deliveries of an item as pending, and removes the known ones from the item. Some deliveries
-// of an announcement may be known, because a sender in an earlier incarnation of the origin sent them.
+// of an item with several destinations may be known, because a sender in an earlier incarnation of the origin sent
+// them.
 func (r *Receiver) addPending(i *Item) (added []Delivery) {
 	destinations := i.Destinations
 	i.Destinations = nil // a new list: other items may share the old one's memory
--- a/cluster/stream/sender.go
+++ b/cluster/stream/sender.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	gatherShare    = 1.0 / 50 // share of the latency target that an item waits for others to be sent in its frame
+	gatherShare    = 1.0 / 50 // how long an item waits for others to share its frame, as a share of its latency target
 	slowStartShare = 1.0 / 16 // share of the relay's credit that may be in flight when the relay is reachable again
 )
 
@@ -48,7 +48,6 @@
 }
 
 // queuedItem is an item that was added to the sender.
-
 type queuedItem struct {
 	item  *Item
 	order uint64     // rank among all items, in the order in which they were added
@@ -62,11 +61,11 @@
 
 func compareOrder(a, b *queuedItem) int { return cmp.Compare(a.order, b.order) }
 
-// destinationQueue holds the queued items of one subscriber.
+// destinationQueue holds the queued items of one destination.
 type destinationQueue struct {
 	destination api.DestinationID
 	items       []*queuedItem
-	inFlight    int  // number of the subscriber's deliveries that are sent and not bypassing
+	inFlight    int  // number of the destination's deliveries that are sent and not bypassing
 	ready       bool // the queue is in readyQueues
 	detached    bool // see DetachDestination
 }
@@ -108,7 +107,7 @@
 }
 
 // NewSender returns a sender. epoch is that of the lease on sending to the site. clockDrift is the maximum difference
-// between the rates of two members' clocks, as a share.
+// between the rates of two members' clocks, as a fraction.
 func NewSender(epoch cluster.Epoch, clockDrift float64) *Sender {
 	return &Sender{
 		generation:     Generation{Epoch: epoch, Number: 1},
@@ -194,7 +193,8 @@
 	}
 }
 
-// canSend reports whether the first item of a queue may be sent, if availableCredit allows another delivery.
+// canSend reports whether the first item of a queue may be sent, apart from the credit: the callers check
+// availableCredit.
 func (s *Sender) canSend(q *destinationQueue) bool {
 	return len(q.items) > 0 && q.inFlight < s.destinationLimit && !q.detached && !s.isBehindBypassing(q)
 }
@@ -237,7 +237,7 @@
 
 // NextFrame returns the next frame to send, or false if none is due. Its deliveries count as sent from now on. The caller
 // must record them in the journal before it sends the first byte. The destinations' queues take turns, so that an
-// unhealthy subscriber does not block others.
+// unhealthy destination does not block others.
 func (s *Sender) NextFrame(now api.Micros) (f Frame, ok bool) {
 	if at, due := s.NextFrameAt(); !due || now < at {
 		return Frame{}, false
