--- a/webhook/api/webhook.go
+++ b/webhook/api/webhook.go
@@ -50,7 +50,8 @@
 	AtMostOnce                    // the webhook must never take effect twice
 )
 
-// EventType holds the settings of one event type. Durations are counted from the webhook's first submission.
+// EventType holds the settings of one event type. LatencyTarget and TTL are counted from the webhook's first
+// submission.
 type EventType struct {
 	LatencyTarget Micros  // a webhook delivered within it has its full value
 	TTL           Micros  // the webhook may be delivered until it has elapsed
--- a/webhook/config/config.go
+++ b/webhook/config/config.go
@@ -21,8 +21,8 @@
 // nominal and rough.
 var weightSources = []string{"", "silent", "nominal", "rough", "live"}
 
-// Catalog holds the names that endpoint lists and webhooks use. A name's position is its index in a list of
-// api.Settings.
+// Catalog holds the names that endpoint lists and webhooks use. A name's position is its index in the
+// matching list of api.Settings, if there is one.
 type Catalog struct {
 	EventTypes, Tenants, Kinds, Zones []string
 	PushedLists                       bool // endpoint lists are pushed to the dispatcher
@@ -33,8 +33,8 @@
 	return readSettings(seed, parsePairs(text))
 }
 
-// FromJSON reads settings from nested JSON. It also returns how long a connection to an endpoint may be idle before it
-// is closed.
+// FromJSON reads settings from nested JSON. It also returns the names that they use, and how long a connection to an
+// endpoint may be idle before it is closed.
 func FromJSON(seed uint64, document gjson.Result) (api.Settings, Catalog, api.Micros, error) {
 	p := &pairs{values: map[string]string{}}
 	p.flatten("", document)
@@ -65,7 +65,7 @@
 // CheckReload returns an error if the new settings (after) can't replace the current ones (before) of a running
 // dispatcher. Webhooks in memory and in the write-ahead log refer to their event type and tenant by index, so a name
 // must keep its index: new names are appended, and names are removed only from the end. SeparateRoutes of a
-// destination kind can't change while calls are in flight.
+// destination kind can't change in a running process.
 func CheckReload(before, after api.Settings, namesBefore, namesAfter Catalog) error {
 	for _, list := range []struct {
 		key           string
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// ReportPositions returns the index in a load report's fields of the unused fraction of the limit (headroom), and that
-// of the limit itself. An index is -1 if reports don't contain the field.
+// ReportPositions returns the indexes of two fields of a load report: headroom, which is the unused fraction of the
+// limit, and the limit. An index is -1 if reports don't contain the field.
 func ReportPositions(text string) (headroom, limit int) {
 	fields := parsePairs(text).list("reporting.names")
 	return slices.Index(fields, "x0"), slices.Index(fields, "x1")
--- a/webhook/dispatcher/dispatcher.go
+++ b/webhook/dispatcher/dispatcher.go
@@ -46,8 +46,9 @@
 
 // Fractions of the limits. heapShare and listShare are parts of the memory, for the Go heap and for one endpoint list
 // before it is parsed. The others are parts of the file descriptors, for clients' connections, for the idle ones among
-// them, and for connections to endpoints. Well-behaved clients use at most a third of the descriptors, and leave half of that third
-// idle.
+// them, and for connections to endpoints. Well-behaved clients use at most a
+// third of the descriptors, which is less than clientShare, and leave half of that third idle, which is
+// idleClientShare.
 const (
 	heapShare       = 0.6
 	listShare       = 1.0 / 8
@@ -74,8 +75,9 @@
 	Server        *server.Server
 }
 
-// Extension adds cluster membership to a dispatcher in the same process. Its methods are called in this order;
-// UpdateSettings is called once per reloaded configuration, after the dispatcher itself has applied it.
+// Extension adds cluster membership to a dispatcher in the same process. Begin, Start, Drain and
+// Stop are called in this order. UpdateSettings and WriteMetrics may be called at any time after Begin: UpdateSettings
+// once per reloaded configuration, after the dispatcher itself has applied it.
 type Extension interface {
 	Begin(*Dispatcher) error // all parts are connected, but no webhook is accepted and the event loop doesn't run yet
 	Start()                  // everything runs, but clients are not let in yet
@@ -124,7 +126,7 @@
 	listener  net.Listener
 
 	loopDone chan struct{} // closed after the last turn
-	served   chan error    // the server's end
+	served   chan error    // receives the error with which the server ended
 }
 
 // newProcess creates and connects the parts of a dispatcher, and recovers the webhooks and callbacks that an earlier
--- a/webhook/dispatcher/eventloop/loop.go
+++ b/webhook/dispatcher/eventloop/loop.go
@@ -139,8 +139,8 @@
 	return <-empty && l.upstream.InFlight() == 0
 }
 
-// UpdateSettings applies new settings from the next turn on. What exceeds a lowered limit is not dropped, but drains. It
-// may be called from any goroutine.
+// UpdateSettings applies new settings from the next turn on. Webhooks above a lowered limit are kept until they
+// finish. It may be called from any goroutine.
 func (l *Loop) UpdateSettings(settings api.Settings, eventTypes []string, idleTimeout api.Micros) {
 	l.inbox.Post(func() {
 		l.settings = withLimits(settings)
@@ -177,7 +177,7 @@
 	return api.DestinationKind{}
 }
 
-// CallFinished reports the result that a call had for one of its webhooks. It may be called from any goroutine.
+// CallFinished reports the result of a call for one of the webhooks in it. It may be called from any goroutine.
 func (l *Loop) CallFinished(w *inflight.Webhook, result api.AttemptResult) {
 	l.inbox.Post(func() { l.handleResult(w, result) })
 }
--- a/webhook/dispatcher/eventloop/turn.go
+++ b/webhook/dispatcher/eventloop/turn.go
@@ -72,14 +72,14 @@
 	l.wait(done)
 }
 
-// runAndCommit runs do in the next turn, and committed once the write of that turn's decisions has succeeded or failed
+// runAndCommit runs do in the next turn, and afterWrite once the write of that turn's decisions has succeeded or failed
 // (see commitFailed); it waits for both. After the last turn it returns without running them.
-func (l *Loop) runAndCommit(do, committed func()) {
+func (l *Loop) runAndCommit(do, afterWrite func()) {
 	done := make(chan struct{})
 	l.inbox.Post(func() {
 		do()
 		l.afterCommit = append(l.afterCommit, func() {
-			committed()
+			afterWrite()
 			close(done)
 		})
 	})
--- a/webhook/dispatcher/wal/log.go
+++ b/webhook/dispatcher/wal/log.go
@@ -26,9 +26,9 @@
 
 const (
 	bytesPerMB = 1_000_000
-	// reserveFraction is the divisor for the part of the disk limit that Accept leaves free, for the calls and results of
-	// pending webhooks.
-	reserveFraction = 16
+	// reserveDivisor is the divisor for the part of the disk limit that Accept leaves free, for the calls and results
+	// of pending webhooks.
+	reserveDivisor = 16
 )
 
 // Log holds the file, and in memory the entries that are in it. It may be used by one goroutine only.
@@ -43,8 +43,8 @@
 	needsCompaction bool   // the file may lack records: the next Commit rewrites it
 }
 
-// Open opens the log in a folder and reads what an earlier incarnation left there. The folder never holds more than diskMB
-// megabytes.
+// Open opens the log in a folder and reads what an earlier incarnation left there. The log's files never take more than
+// diskMB megabytes, unless an earlier limit was larger.
 func Open(dir string, diskMB float64) (*Log, error) {
 	if dir == "" {
 		return nil, errors.New("write-ahead log: no folder is named")
@@ -123,7 +123,7 @@
 // the present one.
 func (l *Log) Accept(id api.WebhookID, payload []byte) error {
 	e := &Entry{ID: id, Payload: payload, MayHaveRunAt: api.Never}
-	if 2*(l.liveSize+e.size())+l.maxSize/reserveFraction > l.maxSize {
+	if 2*(l.liveSize+e.size())+l.maxSize/reserveDivisor > l.maxSize {
 		return ErrFull
 	}
 	l.put(e)
--- a/webhook/simadapter/instance.go
+++ b/webhook/simadapter/instance.go
@@ -14,9 +14,9 @@
 	id     uint16
 	policy api.Policy
 
-	inTurn bool // an event of this batch has called the policy
-	dead   bool // the instance was killed, or its policy has panicked
-	killed bool // its actions of this batch are dropped: the simulator would apply them to a new instance of the same id
+	inTurn  bool // an event of this batch has called the policy
+	stopped bool // the instance was removed, or its policy has panicked
+	removed bool // its actions of this batch are dropped: the simulator would apply them to a new instance of the same id
 
 	headroomIndex int // position of the headroom in a load report, or -1
 	limitIndex    int // position of the limit in a load report, or -1
@@ -28,12 +28,12 @@
 // recoverPanic runs call, a call on the policy. If the policy panics, the instance's last action reports the panic, and
 // the process and its other instances continue.
 func (in *instance) recoverPanic(call func()) {
-	if in.dead {
+	if in.stopped {
 		return
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			in.dead = true
+			in.stopped = true
 			in.appendText(actionCrash, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
--- a/webhook/simadapter/server.go
+++ b/webhook/simadapter/server.go
@@ -113,10 +113,10 @@
 
 func (s *server) endTurn(in *instance) {
 	in.inTurn = false
-	if !in.dead {
+	if !in.stopped {
 		in.recoverPanic(in.policy.EndTurn)
 	}
-	if !in.killed {
+	if !in.removed {
 		s.reply = append(s.reply, in.actions...)
 		s.actionCount += in.actionCount
 	}
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	if call != nil && !in.dead {
+	if call != nil && !in.stopped {
 		s.beginTurn(in)
 		in.recoverPanic(call)
 	}
@@ -187,8 +187,8 @@
 // remove deletes an instance and drops its actions of this batch.
 func (s *server) remove(id uint16) {
 	if in := s.instances[id]; in != nil {
-		in.dead = true
-		in.killed = true
+		in.stopped = true
+		in.removed = true
 		delete(s.instances, id)
 	}
 }
