--- a/test/integration/mutants/endpoints_table_test.go
+++ b/test/integration/mutants/endpoints_table_test.go
@@ -3,35 +3,35 @@
 // endpointMutants has the guards of what is acknowledged to endpoints and operators, and of successors.
 var endpointMutants = []mutant{
 	{
-		name:    "an endpoint's end is acknowledged by one disk alone",
+		name:    "an endpoint's departure is acknowledged by one disk alone",
 		file:    "serving/endpoints/exchange/replication.go",
 		old:     "return awaitQuorum(ctx, results, copies, targets.Quorum)",
 		replace: "return awaitQuorum(ctx, results, copies, targets.Quorum-1)",
 		pkg:     "serving/endpoints/exchange", tests: "TestPutReplicated",
 	},
 	{
-		name:    "a member acknowledges an endpoint's end from memory",
+		name:    "a member acknowledges an endpoint's departure from memory",
 		file:    "serving/member/handlers.go",
 		old:     "if message.Durable {",
 		replace: "if message.Durable && false {",
 		pkg:     "serving/member", tests: "TestPushDurable",
 	},
 	{
-		name:    "an older state of an endpoint replaces its end on disk",
+		name:    "an older state of an endpoint replaces its departure on disk",
 		file:    "serving/core/departures.go",
 		old:     "if !d.isNewer(endpoint) {",
 		replace: "if false {",
 		pkg:     "serving/core", tests: "TestEndpointSaver",
 	},
 	{
-		name:    "a snapshot drops the ends of endpoints from the disk",
+		name:    "a snapshot drops endpoints' departures from the disk",
 		file:    "serving/core/endpointsaver.go",
 		old:     "if changes.Snapshot {",
 		replace: "if false {",
 		pkg:     "serving/core", tests: "TestEndpointSaver",
 	},
 	{
-		name:    "the ends of endpoints on disk aren't restored",
+		name:    "endpoints' departures on disk aren't restored",
 		file:    "serving/core/endpointrestorer.go",
 		old:     "departed := r.publishDepartures(saved)",
 		replace: "departed := 0",
@@ -52,14 +52,14 @@
 		pkg:     "serving/endpoints", tests: "TestTable",
 	},
 	{
-		name:    "a closing with a lower count than the former process's has no effect",
+		name:    "a draining heartbeat with a lower count than the former process's has no effect",
 		file:    "serving/endpoints/heartbeat.go",
 		old:     "case isSuccessorClosing(before, heartbeat):",
 		replace: "case false:",
 		pkg:     "serving/endpoints", tests: "TestTable",
 	},
 	{
-		name:    "a closing without effect is acknowledged",
+		name:    "a draining heartbeat without effect is acknowledged",
 		file:    "serving/operator/endpoint.go",
 		old:     "if heartbeat.Draining && endpoint.State == state.EndpointAccepting {",
 		replace: "if false {",
--- a/test/integration/mutants/rollouts_table_test.go
+++ b/test/integration/mutants/rollouts_table_test.go
@@ -66,7 +66,7 @@
 		pkg:     "serving/placement", tests: "TestRollout",
 	},
 	{
-		name:    "leases are granted after a return was decided",
+		name:    "leases are granted after a roll-back was decided",
 		file:    "serving/core/rollouts.go",
 		old:     " && !r.rollingBack[report.OrderRevision] {",
 		replace: " {",
--- a/test/integration/mutants/table_test.go
+++ b/test/integration/mutants/table_test.go
@@ -177,7 +177,7 @@
 		pkg:     "serving/membership", tests: "TestConfirmation",
 	},
 	{
-		name:    "a watcher that began to watch after the member's death vouches for it",
+		name:    "a watcher that began to watch after the member's death counts as evidence that it is alive",
 		file:    "serving/membership/confirmation.go",
 		old:     " && !l.member.newestEvidenceAt.Before(since)",
 		replace: "",
