--- a/serving/errcode/errcode.go
+++ b/serving/errcode/errcode.go
@@ -1,6 +1,7 @@
-// Package errcode numbers the errors that the programs of the serving system return to callers. docs/result-codes.md
-// lists every number with its message and what to do; a test of serving/catalogue compares the two. Each part of the
-// system has a range of a hundred numbers; each file of this package defines one range or a part of one.
+// Package errcode numbers the errors that the programs of the serving system return to callers or report when they
+// start. docs/result-codes.md lists every number with its message and what to do; a test of serving/catalogue compares
+// the two. Each part of the system has a range of a hundred numbers; each file of this package defines one range or a
+// part of one.
 package errcode
 
 import (
@@ -71,5 +72,5 @@
 	return &Error{Kind: Internal, Detail: err.Error()}
 }
 
-// Internal is the kind of errors that have no number.
+// Internal is the kind of errors that have no kind of their own.
 var Internal = define(1, http.StatusInternalServerError, "internal error")
--- a/serving/loadreport/poller.go
+++ b/serving/loadreport/poller.go
@@ -44,7 +44,8 @@
 	Log       *zerolog.Logger
 }
 
-// Poller polls the loads of its zone's language-model endpoints while it holds the zone's singleton role.
+// Poller polls the loads of its zone's language-model endpoints while the zone's singleton role is assigned to this
+// member, so that one member polls for the whole zone.
 type Poller struct {
 	options Options
 	client  *http.Client
--- a/serving/operator/client/client.go
+++ b/serving/operator/client/client.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// callTimeout bounds one attempt; a core member responds within half of it.
+	// callTimeout bounds one attempt. It is twice the time within which a core member responds.
 	callTimeout = 5 * time.Second
 	// minBackoff and maxBackoff bound the exponential backoff between two rounds over the addresses.
 	minBackoff = 100 * time.Millisecond
@@ -32,8 +32,8 @@
 // ErrNoAddress is returned by a Client without addresses.
 var ErrNoAddress = errors.New("no control address")
 
-// ErrInDoubt is returned for a call that got no final response before its context ended. A change may or may not be in
-// force then.
+// ErrInDoubt is returned for a call that got no clear answer, that is, no final response, before its context ended. A
+// change may or may not be in force then.
 var ErrInDoubt = errors.New("no clear answer in time")
 
 // inDoubtError is ErrInDoubt with the errors of the last round over the addresses.
@@ -49,7 +49,8 @@
 func (e *inDoubtError) Unwrap() error { return e.last }
 
 // Client calls the operators' API. Its methods retry until their context ends; sending a change twice is harmless.
-// Their errors are ErrInDoubt, ErrNoAddress or a *RejectedError.
+// Their errors are ErrInDoubt, ErrNoAddress or a *RejectedError. Other errors mean an invalid address, or a body that
+// can't be encoded or decoded.
 type Client struct {
 	Addresses []string // host:port of core members
 }
--- a/serving/operator/endpoint.go
+++ b/serving/operator/endpoint.go
@@ -28,10 +28,10 @@
 	ForwardTo string `json:"forward_to,omitempty"`
 }
 
-// Heartbeat handles a heartbeat. If it reports that the endpoint is closing, it is acknowledged only once a majority of
-// the voters has the endpoint's state on disk. Any other heartbeat is acknowledged only while this member sees a
-// majority of the voters live. A partitioned member thus makes its endpoints fail over to members whose updates reach
-// the proxies.
+// Heartbeat handles a heartbeat. If it reports that the endpoint is draining, it is acknowledged only once a majority
+// of the voters has the endpoint's state on disk. Any other heartbeat is acknowledged only while this member sees a
+// majority of the voters live. A partitioned member thus makes its endpoints send their heartbeats to other members,
+// whose updates reach the proxies.
 func (e *EndpointResource) Heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, maxHeartbeatBytes)
 	if err != nil {
@@ -53,7 +53,8 @@
 		e.replicator.CheckSuccessor(endpoint.ID, heartbeat)
 	}
 	if heartbeat.Draining && endpoint.State == state.EndpointAccepting {
-		// The closing was ignored. After an acknowledgement the endpoint would expect no more requests and still get some.
+		// The draining state was ignored. After an acknowledgement the endpoint would expect no more requests and still
+		// get some.
 		writeError(w, errcode.NotReplicated.With("endpoint %s: a newer heartbeat reports that it accepts requests", endpoint.ID))
 		return
 	}
@@ -64,7 +65,7 @@
 	e.acknowledge(w, endpoint)
 }
 
-// Deregister handles the deregistration of an endpoint. The endpoint needn't have reported before that it is closing.
+// Deregister handles the deregistration of an endpoint. The endpoint needn't have reported before that it is draining.
 // The body is ignored.
 func (e *EndpointResource) Deregister(w http.ResponseWriter, r *http.Request) {
 	endpoint, change, ok := e.endpoints.Deregister(r.PathValue("id"))
@@ -84,7 +85,7 @@
 
 // replicate sends a change of an endpoint's state to the other members. If the endpoint accepts no new requests,
 // replicate returns only once a majority of the voters has the state on disk. Every proxy that isn't partitioned then
-// receives it from one of these voters, even if all of them restart first, and a partitioned member acknowledges
+// receives it from one of these voters, even if all these voters restart first, and a partitioned member acknowledges
 // nothing. Errors are errcode.NotReplicated.
 func (e *EndpointResource) replicate(ctx context.Context, endpoint state.Endpoint, change endpoints.Change) error {
 	if endpoint.State == state.EndpointAccepting {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// acknowledge responds to a heartbeat with the address for the next ones.
+// acknowledge responds to a heartbeat with the address to send the next heartbeats to.
 func (e *EndpointResource) acknowledge(w http.ResponseWriter, endpoint state.Endpoint) {
 	var response heartbeatResponse
 	if e.forwardTo != nil {
@@ -136,7 +137,7 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// logHeartbeat logs a heartbeat that registers an endpoint or begins its closing.
+// logHeartbeat logs a heartbeat that registers an endpoint or begins its draining.
 func (e *EndpointResource) logHeartbeat(endpoint state.Endpoint, change endpoints.Change) {
 	switch {
 	case change.New:
--- a/serving/operator/rollout.go
+++ b/serving/operator/rollout.go
@@ -69,9 +69,9 @@
 }
 
 // Begin begins a roll-out. It responds with 200 once the order is committed, also if the same order was committed
-// before; 400 if it is invalid; 404 if the configuration doesn't name the service; 503 if there is no configuration
-// yet, if a member's release doesn't know roll-outs, or if the outcome is in doubt. The request continues if the caller
-// disconnects, and a committed order is always carried out.
+// before; 400 if it is invalid; 404 if the configuration doesn't name the service; 413 if the body is too large; 503 if
+// there is no configuration yet, if a member's release doesn't support roll-outs, or if the outcome is in doubt. The
+// request continues if the caller disconnects, and a committed order is always carried out.
 func (r *RolloutResource) Begin(w http.ResponseWriter, request *http.Request) {
 	order, err := readOrder(w, request)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return r.checkRollouts(ctx)
 }
 
-// isRecentOrder reports whether an order may be so recent that its operator still retries it.
+// isRecentOrder reports whether the operator may still be retrying the order with this revision.
 func (r *RolloutResource) isRecentOrder(orderRevision uint64) bool {
 	return r.isRecent == nil || r.isRecent(orderRevision)
 }
--- a/serving/settings/bounds.go
+++ b/serving/settings/bounds.go
@@ -63,13 +63,13 @@
 	return []Setting{
 		numberSetting("bounds.retry_ratio", "0.2", "Retry budget of a service, as a fraction of its requests.",
 			func(p *Process) *float64 { return &p.Bounds.RetryRatio }),
-		numberSetting("bounds.retry_slack", "50", "Retries allowed beyond that budget.",
+		numberSetting("bounds.retry_slack", "50", "Retries allowed beyond a service's retry budget.",
 			func(p *Process) *float64 { return &p.Bounds.RetrySlack }),
 		numberSetting("bounds.exposure_share", "0.1", "Share of a service's requests that a bad software version may get during its roll-out.",
 			func(p *Process) *float64 { return &p.Bounds.ExposureShare }),
 		numberSetting("bounds.cold_excess", "1.5", "Limit of requests per second to a warming-up endpoint, as a multiple of its service's warm-up rate.",
 			func(p *Process) *float64 { return &p.Bounds.WarmUpExcess }),
-		numberSetting("bounds.cold_slack", "5", "Requests per second to a warming-up endpoint that are allowed beyond that limit.",
+		numberSetting("bounds.cold_slack", "5", "Requests per second to a warming-up endpoint that are allowed beyond bounds.cold_excess.",
 			func(p *Process) *float64 { return &p.Bounds.WarmUpSlack }),
 	}
 }
