--- a/cluster/relay/site_test.go
+++ b/cluster/relay/site_test.go
@@ -16,7 +16,7 @@
 		ID:             stream.MessageID{Origin: "m", Incarnation: 1, Number: id},
 		RequestID:      "a",
 		IsAnnouncement: true,
-		TTL:            1 << 60,
+		Deadline:       1 << 60,
 		FirstAttemptAt: api.Never,
 		Body:           []byte("b"),
 		Destinations:   to,
--- a/cluster/site/feed.go
+++ b/cluster/site/feed.go
@@ -52,7 +52,7 @@
 		EventType:      w.EventType,
 		Tenant:         w.Tenant,
 		Token:          string(w.Token),
-		TTL:            w.Deadline,
+		Deadline:       w.Deadline,
 		Attempts:       w.Attempts,
 		FirstAttemptAt: w.MayHaveRunAt,
 		Zone:           w.Zone,
@@ -87,7 +87,7 @@
 func partOf(i *stream.Item) announcementPart {
 	return announcementPart{
 		id:             i.ID,
-		ttl:            i.TTL,
+		ttl:            i.Deadline,
 		attempts:       i.Attempts,
 		firstAttemptAt: i.FirstAttemptAt,
 		zone:           i.Zone,
--- a/cluster/site/relay_receiver.go
+++ b/cluster/site/relay_receiver.go
@@ -155,7 +155,7 @@
 // reconcileDispatcher determines which of the pending webhooks the dispatcher has finished or still has. It queues the
 // others for submission.
 func (r *relayReceiver) reconcileDispatcher(pending []inflight.RequestID) {
-	finished, known := r.loop.NotifyInsteadOfPlatform(pending, r.recordFinished)
+	finished, known := r.loop.NotifyInsteadOfCallback(pending, r.recordFinished)
 	for id, result := range finished {
 		r.recordFinished(id, result)
 		known[result.RequestID] = true
@@ -235,7 +235,7 @@
 		Tenant:      i.Tenant,
 		OrderingKey: i.Key,
 		Destination: destination,
-		Deadline:    i.TTL,
+		Deadline:    i.Deadline,
 		Body:        i.Body,
 	}
 	return &relayRecord{
--- a/cluster/site/relay_receiver_test.go
+++ b/cluster/site/relay_receiver_test.go
@@ -91,7 +91,7 @@
 		RequestID:      "a",
 		IsAnnouncement: true,
 		FirstAttemptAt: api.Never,
-		TTL:            inflight.Now() + ttl,
+		Deadline:       inflight.Now() + ttl,
 		Body:           []byte("b"),
 		Destinations:   []api.DestinationID{4, 5},
 	}
--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -164,7 +164,8 @@
 	if w == nil {
 		return stream.ResolveDeadLetter
 	}
-	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), folderLost, w.item.TTL, inflight.Now())
+	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), folderLost, w.item.Deadline,
+		inflight.Now())
 }
 
 func (s *siteSender) removeSentRecords(results []inflight.Result) {
--- a/cluster/stream/bench_test.go
+++ b/cluster/stream/bench_test.go
@@ -58,7 +58,7 @@
 		RequestID:      "announcement-1",
 		IsAnnouncement: true,
 		FirstAttemptAt: api.Never,
-		TTL:            api.Second,
+		Deadline:       api.Second,
 	}
 	for n := range uint32(16) {
 		sum := sha256.Sum256(binary.LittleEndian.AppendUint32(nil, n))
@@ -104,7 +104,7 @@
 // sendDirectly sends an announcement to one subscriber in a frame of its own, and returns its result to the origin.
 func sendDirectly(b *testing.B, t *traffic, i Item, to api.DestinationID) {
 	b.Helper()
-	item := FrameItem{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.TTL, FirstAttemptAt: i.FirstAttemptAt}
+	item := FrameItem{ID: i.ID, RequestID: i.RequestIDFor(to), TTL: i.Deadline, FirstAttemptAt: i.FirstAttemptAt}
 	frame := Frame{
 		Bodies:           [][]byte{i.Body},
 		DestinationLists: [][]byte{encodeDestinations(nil, i.Destinations[:1])},
--- a/cluster/stream/frame.go
+++ b/cluster/stream/frame.go
@@ -40,7 +40,7 @@
 			Tenant:         packed.Tenant,
 			Token:          packed.Token,
 			Key:            packed.Key,
-			TTL:            packed.TTL,
+			Deadline:       packed.TTL,
 			Attempts:       packed.Attempts,
 			FirstAttemptAt: packed.FirstAttemptAt,
 			Zone:           packed.Zone,
@@ -105,7 +105,7 @@
 	for _, part := range b.parts {
 		slices.Sort(part.destinations)
 		i := part.item.item
-		ttl := i.TTL
+		ttl := i.Deadline
 		if i.TokenWindow > 0 {
 			ttl = min(ttl, now+i.TokenWindow)
 		}
--- a/cluster/stream/message.go
+++ b/cluster/stream/message.go
@@ -41,7 +41,7 @@
 	Tenant         api.TenantID
 	Token          string
 	Key            api.OrderingKey // 0 unless the event type is ordered
-	TTL            api.Micros      // time at which the item expires
+	Deadline       api.Micros      // time at which the item expires
 	Attempts       int
 	FirstAttemptAt api.Micros // time of the first attempt that may have run; api.Never: there was none
 	Zone           api.ZoneID // of that attempt's endpoint
--- a/cluster/stream/model_faults_test.go
+++ b/cluster/stream/model_faults_test.go
@@ -44,7 +44,7 @@
 	}
 	outcome := Delivered
 	wouldRepeat := h.called && eventTypes[h.EventType].Semantics == api.AtMostOnce
-	switch late := m.now+relayClockLead >= h.TTL; {
+	switch late := m.now+relayClockLead >= h.Deadline; {
 	case late && !h.called:
 		outcome = Rejected
 	case late || wouldRepeat:
@@ -75,7 +75,7 @@
 		switch {
 		case o.Key != 0 && slices.ContainsFunc(m.deliveries, earlier):
 			continue
-		case m.now >= o.TTL || o.isTokenForgotten(m.now):
+		case m.now >= o.Deadline || o.isTokenForgotten(m.now):
 			o.deadLetteredInDoubt = true
 			m.recordOutcome(o.delivery(), DeadLettered)
 		default:
--- a/cluster/stream/model_test.go
+++ b/cluster/stream/model_test.go
@@ -84,7 +84,7 @@
 		IsAnnouncement: true,
 		EventType:      api.EventTypeID(kind),
 		Key:            api.OrderingKey(rapid.IntRange(0, 1).Draw(m.T, "key")),
-		TTL:            m.now + ttl,
+		Deadline:       m.now + ttl,
 		FirstAttemptAt: api.Never,
 		Body:           []byte("b"),
 		TokenWindow:    eventTypes[kind].DedupWindow,
@@ -127,7 +127,7 @@
 func (m *model) resolveInDoubt(of []InDoubt, lost bool) {
 	resolve := func(u InDoubt) Resolution {
 		o := m.open[u.Delivery]
-		return Resolve(&o.Item, u.SentAt, eventTypes[o.EventType], lost, o.TTL, m.now)
+		return Resolve(&o.Item, u.SentAt, eventTypes[o.EventType], lost, o.Deadline, m.now)
 	}
 	resolutions := ResolveLost(of, resolve)
 	for i, u := range of {
--- a/cluster/stream/receiver.go
+++ b/cluster/stream/receiver.go
@@ -134,7 +134,7 @@
 	for _, i := range items {
 		addedOfItem := r.addPending(&i)
 		added = append(added, addedOfItem...)
-		i.TTL += f.ClockOffset
+		i.Deadline += f.ClockOffset
 		if i.FirstAttemptAt != api.Never {
 			i.FirstAttemptAt += f.ClockOffset
 		}
--- a/cluster/stream/sender_bypass.go
+++ b/cluster/stream/sender_bypass.go
@@ -10,7 +10,7 @@
 func (s *Sender) DropExpired(now api.Micros) (expired []Delivery) {
 	for _, q := range s.allQueues {
 		q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
-			isExpired := item.item.TTL <= now
+			isExpired := item.item.Deadline <= now
 			if isExpired {
 				expired = append(expired, Delivery{Message: item.item.ID, Destination: q.destination})
 			}
--- a/cluster/stream/sender_test.go
+++ b/cluster/stream/sender_test.go
@@ -17,7 +17,7 @@
 		RequestID:      "r",
 		IsAnnouncement: len(to) > 1,
 		Key:            key,
-		TTL:            100 * api.Second,
+		Deadline:       100 * api.Second,
 		FirstAttemptAt: api.Never,
 		Body:           []byte("body"),
 		Destinations:   to,
@@ -191,7 +191,7 @@
 	fresh, err := r.Receive(nextFrame(t, s, 2*slow))
 	require.NoError(t, err)
 	drift := slow / 10
-	assert.Equal(t, i.TTL+ahead-slow-drift, fresh[0].TTL)
+	assert.Equal(t, i.Deadline+ahead-slow-drift, fresh[0].Deadline)
 	assert.Equal(t, i.FirstAttemptAt+ahead-slow-drift, fresh[0].FirstAttemptAt)
 	assert.True(t, s.HandleAck(r.Ack(100, ahead+2*slow), 2*slow), "a fast ack")
 	assert.Equal(t, ahead, s.clockOffset(2*slow))
--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -206,7 +206,7 @@
 	defer cancel()
 	record, err := r.change(ctx, transition.Apply)
 	if err != nil {
-		event.RolloutUndecided.Log(r.log).Str("service", current.Service).Err(err).Send()
+		event.RolloutDecisionNotCommitted.Log(r.log).Str("service", current.Service).Err(err).Send()
 		return
 	}
 	next, found := record.Rollout(current.Service)
--- a/serving/errcode/register.go
+++ b/serving/errcode/register.go
@@ -15,6 +15,6 @@
 	VersionNotAbove = define(203, http.StatusBadRequest, "the configuration's version is not above the current one")
 	// RegisterNotReady means that this process doesn't know the register's replicas yet.
 	RegisterNotReady = define(204, http.StatusServiceUnavailable, "the register's replicas are not known yet")
-	// UpdateForgotten means that the history of changes is too short to tell whether the change was committed earlier.
-	UpdateForgotten = define(205, http.StatusServiceUnavailable, "the change is older than the history of changes; it may have been in force")
+	// ChangeForgotten means that the history of changes is too short to tell whether the change was committed earlier.
+	ChangeForgotten = define(205, http.StatusServiceUnavailable, "the change is older than the history of changes; it may have been in force")
 )
--- a/serving/event/register.go
+++ b/serving/event/register.go
@@ -14,7 +14,7 @@
 	ReplicaStoreRecovered  = define(207, zerolog.InfoLevel, "store saves again")
 	ReplicaStoreUnreadable = define(208, zerolog.WarnLevel, "store can't be read yet; retrying")
 	ReplicaIsLearner       = define(209, zerolog.InfoLevel, "replica is a learner: it stores the committed record and doesn't vote")
-	StoreMovedAside        = define(210, zerolog.ErrorLevel, "store file is damaged and was moved aside; treated as a lost disk")
+	StoreQuarantined       = define(210, zerolog.ErrorLevel, "store file is damaged and was moved aside; treated as a lost disk")
 	EndpointStoreRemoved   = define(211, zerolog.WarnLevel, "endpoint store is damaged and was removed; it is rebuilt")
 	EndpointStoreFailed    = define(212, zerolog.WarnLevel, "endpoints can't be saved or restored; this member confirms no departures, and recovery from a total loss will take longer")
 	VoteTransferred        = define(213, zerolog.InfoLevel, "replica transferred its vote to a learner")
--- a/serving/operator/httpbody.go
+++ b/serving/operator/httpbody.go
@@ -60,14 +60,14 @@
 }
 
 // changeError converts the error of a change for the response. An error with status 400 or 412, which means that the
-// committed record rejects the change, and errcode.UpdateForgotten keep their kind. Any other error becomes one of the
+// committed record rejects the change, and errcode.ChangeForgotten keep their kind. Any other error becomes one of the
 // kind otherwise, after which the caller retries.
 func changeError(err error, otherwise errcode.Kind) error {
 	numbered := errcode.Of(err)
 	switch {
 	case numbered.Kind.Status == http.StatusBadRequest, numbered.Kind.Status == http.StatusPreconditionFailed:
 		return numbered
-	case numbered.Kind.Code == errcode.UpdateForgotten.Code:
+	case numbered.Kind.Code == errcode.ChangeForgotten.Code:
 		return numbered
 	default:
 		return otherwise.With("%v", err)
--- a/serving/register/update.go
+++ b/serving/register/update.go
@@ -27,7 +27,7 @@
 //
 // The update is rejected with errcode.VersionConflict if another version than basedOn is current, and with
 // errcode.VersionNotAbove if the new version isn't above the current one. A configuration that is or was in force, byte
-// for byte, is no change. If the record's history is too short to tell, the error is errcode.UpdateForgotten, which
+// for byte, is no change. If the record's history is too short to tell, the error is errcode.ChangeForgotten, which
 // leaves open whether the update was applied: an update that was acknowledged must never be reported as rejected.
 func ReplaceConfiguration(basedOn uint64, configuration state.Configuration) Update {
 	applied := state.AppliedUpdate{Version: configuration.Version, Digest: configuration.Digest}
@@ -73,7 +73,7 @@
 	case record.WasApplied(applied.Version, applied.Digest):
 		return ErrNoChange
 	case basedOn != current && record.MayBeForgotten(applied.Version):
-		return errcode.UpdateForgotten.With("version %d; the history begins after version %d",
+		return errcode.ChangeForgotten.With("version %d; the history begins after version %d",
 			applied.Version, max(record.ForgottenVersion, record.TruncatedVersion))
 	case basedOn != current:
 		return errcode.VersionConflict.With("version %d is current, not %d", current, basedOn)
--- a/serving/register/update_test.go
+++ b/serving/register/update_test.go
@@ -123,13 +123,13 @@
 	for version := range uint64(historyLength + 20) {
 		_, err := ReplaceConfiguration(version, configuration(version+1, fmt.Sprint(version)))(record)
 		if version+1 <= 20 {
-			assert.True(t, errcode.UpdateForgotten.Is(err), "version %d: %v", version+1, err)
+			assert.True(t, errcode.ChangeForgotten.Is(err), "version %d: %v", version+1, err)
 		} else {
 			assert.Equal(t, ErrNoChange, err, "version %d", version+1)
 		}
 	}
 	_, err := AmendConfiguration(19, state.AppliedUpdate{Version: 20}, nil)(record)
-	assert.True(t, errcode.UpdateForgotten.Is(err), "%v", err)
+	assert.True(t, errcode.ChangeForgotten.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(20, configuration(21, "another document"))(record)
 	assert.True(t, errcode.VersionConflict.Is(err), "%v", err)
 	_, err = ReplaceConfiguration(historyLength+20, configuration(7, "on the newest"))(record)
--- a/serving/store/store.go
+++ b/serving/store/store.go
@@ -92,7 +92,7 @@
 	if !isCorruption(err) {
 		return state, found, err
 	}
-	event.StoreMovedAside.Log(f.log).Err(err).Send()
+	event.StoreQuarantined.Log(f.log).Err(err).Send()
 	f.close()
 	if err := f.quarantine(); err != nil {
 		return register.AcceptorState{}, false, err
--- a/test/integration/serving/control_test.go
+++ b/test/integration/serving/control_test.go
@@ -329,7 +329,7 @@
 	for _, n := range c.cores {
 		status, body := n.call(first)
 		assert.Equal(t, http.StatusServiceUnavailable, status, "older than the history")
-		assert.Contains(t, body, errcode.UpdateForgotten.Message)
+		assert.Contains(t, body, errcode.ChangeForgotten.Message)
 	}
 	for _, n := range c.nodes() {
 		used := n.peakMemoryKB()
--- a/webhook/dispatcher/eventloop/result.go
+++ b/webhook/dispatcher/eventloop/result.go
@@ -46,10 +46,10 @@
 	return true
 }
 
-// NotifyInsteadOfPlatform has the results of an earlier incarnation's webhooks passed to onFinished in place of the
-// platform. It returns the results of those that have ended by now, and which of the others are pending. It waits for a
-// turn; it may be called from any goroutine.
-func (l *Loop) NotifyInsteadOfPlatform(ids []inflight.RequestID, onFinished func(api.WebhookID, inflight.Result)) (
+// NotifyInsteadOfCallback has the results of an earlier incarnation's webhooks passed to onFinished instead of being
+// sent as callbacks. It returns the results of those that have ended by now, and which of the others are
+// pending. It waits for a turn; it may be called from any goroutine.
+func (l *Loop) NotifyInsteadOfCallback(ids []inflight.RequestID, onFinished func(api.WebhookID, inflight.Result)) (
 	finished map[api.WebhookID]inflight.Result, pending map[inflight.RequestID]bool) {
 	wanted := toSet(ids)
 	finished = map[api.WebhookID]inflight.Result{}
