--- a/cmd/rowanctl/rollout.go
+++ b/cmd/rowanctl/rollout.go
@@ -14,14 +14,14 @@
 
 // rolloutCommand groups the commands that begin or show roll-outs.
 type rolloutCommand struct {
-	Begin beginRolloutCommand `cmd:"" help:"Order that the traffic of a service be moved to a software version. It ends by itself: delivered, or returned if the version is worse."`
+	Begin beginRolloutCommand `cmd:"" help:"Order that the traffic of a service be moved to a software version. The roll-out ends by itself: delivered, or returned if the version is worse."`
 	Show  showRolloutCommand  `cmd:"" help:"Show the newest roll-out of a service, and why it ended."`
 }
 
 // beginRolloutCommand begins a roll-out.
 type beginRolloutCommand struct {
 	Service string        `arg:"" help:"Service, as the configuration names it."`
-	Target  string        `arg:"" help:"Software version that its endpoints report."`
+	Target  string        `arg:"" help:"Software version that endpoints of the service report."`
 	Over    time.Duration `required:"" help:"Time within which the roll-out is to end, such as 15m."`
 }
 
