--- a/cluster/site/sender_store.go
+++ b/cluster/site/sender_store.go
@@ -42,7 +42,8 @@
 			})
 		}
 	}
-	// The records are stored before the hand-over: a superfluous record only costs a request to the relay.
+	// The records are stored before the event loop hands the webhooks to the relay: a superfluous record only costs a
+	// request to the relay.
 	if err := s.sites.sentLog.add(records); err != nil {
 		return err
 	}
@@ -163,7 +164,8 @@
 	if w == nil {
 		return stream.ResolveDeadLetter
 	}
-	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), folderLost, w.item.TTL, inflight.Now())
+	return stream.Resolve(w.item, d.SentAt, s.sites.eventType(w.item.EventType), folderLost, w.item.Deadline,
+		inflight.Now())
 }
 
 func (s *siteSender) removeSentRecords(results []inflight.Result) {
