--- a/cluster/fsm/machine.go
+++ b/cluster/fsm/machine.go
@@ -17,7 +17,7 @@
 	leases     *lease.Table
 	components map[cluster.ComponentID]cluster.Component
 	versions   map[cluster.ComponentID]uint64 // see ComponentVersion
-	initial    map[cluster.ComponentID][]byte // each component's state at first, used if a snapshot lacks the component
+	initial    map[cluster.ComponentID][]byte // each component's initial snapshot, used if a snapshot lacks the component
 }
 
 // codec encodes and decodes entries and snapshots.
@@ -44,7 +44,7 @@
 func EncodeCommand(c cluster.Command) []byte {
 	b, err := codec.Marshal(c)
 	if err != nil {
-		panic(err) // no field of a command can fail
+		panic(err) // every command can be encoded
 	}
 	return b
 }
--- a/cluster/lease/fence.go
+++ b/cluster/lease/fence.go
@@ -41,7 +41,7 @@
 }
 
 // DecodeFence restores the fence that an earlier process encoded. It returns ErrUnreadable if the data is damaged or
-// has a newer format. The process must then admit no request, and must not start with an empty fence instead.
+// has another format. The process must then admit no request, and must not start with an empty fence instead.
 func DecodeFence(b []byte) (*Fence, error) {
 	var image fenceImage
 	if err := codec.Unmarshal(b, &image); err != nil {
--- a/cluster/lease/holder.go
+++ b/cluster/lease/holder.go
@@ -88,7 +88,7 @@
 
 // EndSession makes the holder invalid and returns the session, which the member must then end in the log. A process
 // that continues needs a new incarnation for its next session: a request to open one with the old incarnation could
-// return the same session, and the log could end that session afterwards.
+// return the same session, and the entry that ends it could be applied afterwards.
 func (h *Holder) EndSession() cluster.SessionID {
 	s := h.session
 	h.endedUpTo = max(h.endedUpTo, s)
@@ -101,15 +101,15 @@
 func (h *Holder) Session() cluster.SessionID { return h.session }
 
 // IsValid reports whether the session is certainly open: no raft node has let it expire, as long as the clocks stay
-// within the drift.
+// within the clockDrift given to NewHolder.
 func (h *Holder) IsValid(now api.Micros) bool { return h.session != 0 && now < h.deadline }
 
 // Deadline returns the time at which IsValid becomes false unless a renewal is confirmed before; 0 without a session.
 func (h *Holder) Deadline() api.Micros { return h.deadline }
 
 // NextRenewalAt returns when to start the next renewal: a third of the usable TTL after the last one if that was
-// confirmed, a sixth if it was not, so that three renewals in a row may be lost before the session is. Before the
-// first renewal it returns 0, which means at once.
+// confirmed, a sixth if it was not, so that three renewals in a row may be lost before the session is
+// lost. Before the first renewal it returns 0, which means at once.
 func (h *Holder) NextRenewalAt() api.Micros {
 	switch {
 	case h.renewalCount == 0:
--- a/cluster/lease/reconciler.go
+++ b/cluster/lease/reconciler.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Release gives up the lease on a resource at once. If the log has granted the lease but the member does not know
-// that yet, HandleResult or ReconcileGrants releases it later.
+// Release gives up the lease on a resource at once. If the lease has been granted but the member does not know that
+// yet, HandleResult or ReconcileGrants releases it later.
 func (c *Reconciler) Release(r cluster.Resource) {
 	delete(c.requested, r)
 	if epoch, held := c.holder.Relinquish(r); held {
@@ -92,16 +92,16 @@
 // Requested returns the requested resources, sorted.
 func (c *Reconciler) Requested() []cluster.Resource { return slices.Sorted(maps.Keys(c.requested)) }
 
-// RetryAll makes all requests due, so that they are proposed for a new session.
+// RetryAll unblocks all requests, so that those without a lease are proposed for a new session at once.
 func (c *Reconciler) RetryAll() {
 	for r := range c.requested {
 		c.requested[r] = request{}
 	}
 }
 
-// NextProposal returns what to propose now. Releases come before acquisitions, since no other member is granted a
-// lease before its release is applied. Without a valid session there is nothing to propose; once the session is valid
-// again, all outstanding proposals are made.
+// NextProposal returns the next proposal to make now, the zero value if there is none. Releases come before
+// acquisitions, since no other member is granted a lease before its release is applied. Without a valid session there
+// is nothing to propose; outstanding releases and acquisitions are returned once the session is valid again.
 func (c *Reconciler) NextProposal(now api.Micros) Proposal {
 	if !c.holder.IsValid(now) {
 		return Proposal{}
@@ -120,7 +120,7 @@
 	return p
 }
 
-// isDue reports whether the lease on a requested resource is not held and may be requested from the log now.
+// isDue reports whether the lease on a requested resource is not held and its acquisition may be proposed now.
 func (c *Reconciler) isDue(r cluster.Resource, now api.Micros) bool {
 	if _, held := c.holder.Epoch(r, now); held {
 		return false
@@ -152,8 +152,8 @@
 			c.reconcileGrant(s, g)
 			continue
 		}
-		// A rejection of an earlier session is ignored: the session that held the lease then may have ended since, or
-		// be the current one.
+		// A rejection of a request by an earlier session is ignored: the session that held the lease then may have
+		// ended since, or be the current one.
 		_, isRequested := c.requested[g.Resource]
 		_, isGranted := c.holder.epochs[g.Resource]
 		if isRequested && !isGranted && s == c.holder.Session() {
@@ -165,7 +165,8 @@
 }
 
 // ReconcileGrants processes the grants that session s holds according to a raft node's table. It recovers a grant
-// whose result was lost, also if a raft node with an older table has reported the lease as held by another session.
+// whose result was lost, even if another raft node, whose table was older, has since reported that the lease is held
+// by another session.
 // It releases a grant that was applied after the member had given up the lease: otherwise no other member could
 // acquire a lease that this one does not use.
 func (c *Reconciler) ReconcileGrants(s cluster.SessionID, grants []Grant) {
@@ -177,7 +178,8 @@
 }
 
 // reconcileGrant adds a grant to the holder. It releases the grant instead if the resource is not requested, or if
-// the member has already given up this grant and the release was lost.
+// the member has already given up this grant and the release was lost. Grants of other sessions and grants that are
+// older than one known for the resource are ignored.
 func (c *Reconciler) reconcileGrant(s cluster.SessionID, g Grant) {
 	isOutdated := g.Epoch < max(c.holder.epochs[g.Resource], c.holder.relinquished[g.Resource])
 	if s != c.holder.Session() || isOutdated {
@@ -188,7 +190,8 @@
 		c.requested[g.Resource] = request{}
 		return
 	}
-	// Without this a late result would restore the grant while its release is in flight.
+	// The holder must remember that the grant was given up: otherwise a late result would restore it while its
+	// release is in flight.
 	c.holder.Relinquish(g.Resource)
 	c.releasing[g.Resource] = releasedGrant{session: s, epoch: g.Epoch}
 }
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,8 +1,8 @@
 // Package custody persists which member has custody of a webhook, that is, which member is responsible for delivering
 // it. There is one record for each webhook that this member offered to another member or was offered by one. The
 // records are in a journal of their own, apart from the journal of the webhooks. A record is written before the member
-// sends a reply that depends on it, so that each webhook has exactly one custodian, whatever messages or processes are
-// lost.
+// sends a reply that depends on it, so that each webhook has exactly one custodian even if messages are lost or
+// processes end.
 //
 // A webhook is in doubt while this member has offered it and doesn't know whether the other member has accepted it;
 // until that is known, nobody here calls its destination. The rules of the protocol are those of shardmap.CustodyTable.
@@ -81,7 +81,7 @@
 	}
 	s.table = shardmap.NewCustodyTable(records, isPending)
 	// NewCustodyTable has adapted the records to the webhooks that are pending now. The result is written at once: a later
-	// process, with other webhooks pending, might come to other records.
+	// process, with other webhooks pending, might derive different records.
 	if err := s.writeChanges(before); err != nil {
 		_ = journal.Close() // the earlier error is returned
 		return nil, err
@@ -115,8 +115,8 @@
 	Exists bool // the webhook had a record
 }
 
-// SnapshotRecord returns the current record of a webhook. It may be called only within the function that is passed to
-// Update or UpdateInMemory, where the table is locked.
+// SnapshotRecord returns the current record of a webhook. The table must be locked: outside this package it may be
+// called only within the function that is passed to Update or UpdateInMemory.
 func (s *Store) SnapshotRecord(id shardmap.WebhookID) RecordSnapshot {
 	record, known := s.table.Lookup(id)
 	return RecordSnapshot{ID: id, Record: record, Exists: known}
@@ -144,9 +144,9 @@
 	return err
 }
 
-// UpdateInMemory calls change with the table locked and does not write the records. It is for changes that follow from
-// another member's reply: if they are lost in a restart, that member is queried again and its reply leads to the same
-// change.
+// UpdateInMemory calls change with the table locked and does not write the records. It is for modifications that follow
+// from another member's reply: if they are lost in a restart, that member is queried again and its reply leads to the
+// same modification.
 func (s *Store) UpdateInMemory(change func(*shardmap.CustodyTable)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +183,7 @@
 		return err
 	}
 	for id, entryID := range written {
-		s.endEntry(id) // reaches the disk with the next commit: until then readEntries prefers the later entry
+		s.endEntry(id) // the end reaches the disk with the next commit: until then readEntries prefers the later entry
 		s.entryIDs[id] = entryID
 	}
 	for _, id := range removed {
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -21,8 +21,10 @@
 const (
 	// forwardTimeoutDivisor sets the time-out of one request to an owner: inflight.AnswerTimeout/forwardTimeoutDivisor.
 	// The rest of AnswerTimeout, within which the client must get a response, remains for accepting the webhook here.
+	// Forward starts no attempt in the last AnswerTimeout/forwardTimeoutDivisor.
 	forwardTimeoutDivisor = 3
-	// retryInterval is the time between two attempts while the range is closed or its owner has an older map.
+	// retryInterval is the time between two attempts of Forward, which it makes while the range is closed or the owner
+	// can't accept the webhook yet.
 	retryInterval = inflight.AnswerTimeout / forwardTimeoutDivisor / forwardTimeoutDivisor / forwardTimeoutDivisor
 )
 
@@ -81,8 +83,9 @@
 
 // Forward forwards a client's webhook to the owner of its range and returns the owner's response. If the owner doesn't
 // answer, or can't accept the webhook yet and the webhook is not ordered, it is accepted here and parked until it can
-// be handed off. While the range is closed here, and for an ordered webhook that the owner can't accept yet, Forward
-// tries again and finally rejects the webhook. The one member that has the webhook in its journal has custody of it.
+// be handed off. While the range is closed here, Forward tries again and finally rejects the webhook; it does the same
+// for an ordered webhook that the owner can't accept yet. The one member that has the webhook in its journal has
+// custody of it.
 func (f *Forwarder) Forward(w *inflight.Webhook, accept AcceptFunc) (inflight.Answer, api.Micros) {
 	deadline := inflight.Now() + inflight.AnswerTimeout - inflight.AnswerTimeout/forwardTimeoutDivisor
 	for {
@@ -161,7 +164,7 @@
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
-		case reply.Reply == shardmap.CustodyNeverTaken: // the webhook has expired and ends here
+		case reply.Reply == shardmap.CustodyNeverTaken: // the webhook has expired: it is accepted here, and ends here
 			return forwardResult{outcome: keptHere}
 		case !shardmap.ShouldFollowRedirect(decision, reply.Decision, reply.Admission, hops):
 			return forwardResult{outcome: retryLater}
@@ -171,9 +174,9 @@
 	}
 }
 
-// keepInDoubt keeps a webhook here in doubt that its owner may have accepted. This member doesn't call its destination
+// keepInDoubt keeps a webhook that its owner may have accepted here, in doubt. This member doesn't call its destination
 // until the custody is resolved, even after a restart. If the custody record can't be written, the webhook is
-// journalled as one that may have run.
+// journalled as one whose destination may have been called.
 func (f *Forwarder) keepInDoubt(w *inflight.Webhook, handoff shardmap.HandoffNumber,
 	offer shardmap.Offer) forwardResult {
 	slog.Warn("webhook in doubt: its owner did not answer", "webhook", w.RequestID, "owner", offer.To)
--- a/cluster/member/ownership/closedrange.go
+++ b/cluster/member/ownership/closedrange.go
@@ -10,12 +10,12 @@
 // webhook to a closed range until the move has switched.
 type closedRange struct {
 	move  shardmap.MoveID
-	since api.Micros // by Manager.Clock
+	since api.Micros // read from Manager.Clock
 }
 
-// maxClosedDivisor bounds for how long a range stays closed while this member still holds its lease: a range that
-// has been closed for longer than LeaseTTL/maxClosedDivisor is reopened. Otherwise clients would be rejected for as
-// long as the target of the move is unreachable.
+// maxClosedDivisor sets the longest time that a range stays closed while this member still holds its lease: a range
+// that has been closed for longer than LeaseTTL/maxClosedDivisor is reopened. Otherwise clients would be rejected
+// for as long as the target of the move is unreachable.
 const maxClosedDivisor = 4
 
 // BeginAdmission prevents ranges from being closed until end is called. Code that admits a webhook calls BeginAdmission
@@ -25,8 +25,8 @@
 	return m.admissionMu.RUnlock
 }
 
-// IsClosed reports whether a webhook with this decision can't be admitted because its range is closed: the webhook has
-// to wait until the move has switched.
+// IsClosed reports whether a webhook that Decide returned d for can't be admitted because its range is closed: the
+// webhook has to wait until the move has switched.
 func (m *Manager) IsClosed(d shardmap.Decision) bool {
 	if d.Action != shardmap.ParkOwned || !d.Move.IsOpen() {
 		return false
@@ -57,7 +57,7 @@
 	return true
 }
 
-// reopenRanges reopens the ranges whose move has switched or was rolled back, and those that have been closed for too
+// reopenRanges reopens the ranges whose move has switched or was reverted, and those that have been closed for too
 // long while this member still holds their lease (maxClosedDivisor).
 func (m *Manager) reopenRanges(shardMap *shardmap.Map) {
 	m.closedRanges.Range(func(id, value any) bool {
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -33,7 +33,7 @@
 	Weight float64          `cbor:"2,keyasint"`
 }
 
-// Takeover assigns a range, whose owner is lost, to another member.
+// Takeover assigns a range, whose owner no longer holds its lease, to another member.
 type Takeover struct {
 	Range         cluster.RangeID  `cbor:"1,keyasint"`
 	PreviousOwner cluster.MemberID `cbor:"2,keyasint"`
@@ -51,7 +51,7 @@
 	Epoch      cluster.Epoch    `cbor:"7,keyasint,omitempty"`
 	Move       MoveID           `cbor:"8,keyasint,omitempty"`
 	Step       MoveStep         `cbor:"9,keyasint,omitempty"`
-	MapVersion cluster.Version  `cbor:"10,keyasint,omitempty"` // by which the proposer serves
+	MapVersion cluster.Version  `cbor:"10,keyasint,omitempty"` // the version of the map by which the proposer serves
 	Count      int              `cbor:"11,keyasint,omitempty"` // opInitialize: the number of ranges
 	Members    []MemberWeight   `cbor:"12,keyasint,omitempty"`
 	Takeovers  []Takeover       `cbor:"13,keyasint,omitempty"`
@@ -102,7 +102,7 @@
 	return e.command(command{Op: opAdvanceMove, Move: move, Step: to})
 }
 
-// RevertMove ends a move that has not switched: the source stays the owner.
+// RevertMove ends a move whose target has not become the owner yet: the source stays the owner.
 func (e Coordinator) RevertMove(move MoveID) cluster.Command {
 	return e.command(command{Op: opRevertMove, Move: move})
 }
@@ -135,8 +135,8 @@
 }
 
 // SwitchOwner makes a move's target the range's owner. The target proposes it once it holds the range's lease, which
-// the previous holder has released or lost. The owner in the map and the right to call thus change at one point of
-// the log.
+// the previous holder has released or lost. The owner in the map and the right to call the range's destinations thus
+// change at one point of the log.
 func SwitchOwner(
 	move MoveID, id cluster.RangeID, target cluster.MemberID, epoch cluster.Epoch,
 ) cluster.Command {
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -9,7 +9,7 @@
 const (
 	CustodyUnknown    CustodyReply = iota // the member can't be reached, or can't tell yet
 	CustodyTaken                          // it has taken the webhook: it is in custody there, has ended or was handed off
-	CustodyNeverTaken                     // it has not taken the webhook, and is bound never to take it by this hand-off
+	CustodyNeverTaken                     // it has not taken the webhook, and must never take it by this hand-off
 	CustodyStateLost                      // its data folder was replaced since the offer, so it can't tell
 	CustodyRejected                       // it has not taken the webhook by this attempt, but may by another one
 )
@@ -22,9 +22,9 @@
 	// OfferNotTaken: the member does nothing, for the reason in the reply.
 	OfferNotTaken OfferOutcome = iota
 	// OfferTaken: the member journals the record and the webhook before it sends CustodyTaken, and calls ConfirmStored;
-	// if journalling fails, it calls Rollback.
+	// if journalling fails, it restores the record with CustodyTable.Rollback.
 	OfferTaken
-	// OfferReturnsCopy: the webhook was in doubt here and has come back; this member has custody again.
+	// OfferReturnsCopy: the webhook was in doubt here and is offered back; this member has custody again.
 	OfferReturnsCopy
 )
 
@@ -74,9 +74,9 @@
 	}
 }
 
-// HandleQuery answers whether a webhook was taken by a hand-off. If mustJournal is true, the record has changed and
-// must be journalled before the answer is sent: after CustodyNeverTaken, an offer that is still in flight must be
-// rejected; after CustodyTaken, hand-offs must continue from this number.
+// HandleQuery answers whether a webhook was taken by a hand-off. It creates the webhook's record if there is
+// none. If mustJournal is true, the record must be journalled before the answer is sent: after CustodyNeverTaken, an
+// offer that is still in flight must be rejected; after CustodyTaken, hand-offs must continue from this number.
 func (t *CustodyTable) HandleQuery(
 	id WebhookID, handoff HandoffNumber, deadline api.Micros,
 ) (reply CustodyReply, mustJournal bool) {
@@ -90,7 +90,7 @@
 		r.Handoff = handoff
 		return CustodyTaken, true
 	}
-	// The answer is the same in doubt: the querying member may be the custodian.
+	// A webhook that is in doubt here gets the same answer: the querying member may be the custodian.
 	mustJournal = handoff > r.RejectedUpTo
 	r.RejectedUpTo = max(r.RejectedUpTo, handoff)
 	return CustodyNeverTaken, mustJournal
--- a/serving/agent/observations.go
+++ b/serving/agent/observations.go
@@ -70,7 +70,7 @@
 
 // groupByAddress groups observations by the address of the core member to send them to. This is the receiver of the
 // endpoint's heartbeats, which decides on the endpoint's state. If the receiver isn't live, the observation goes to all core
-// members, one of which holds the role of deciding in its place.
+// members, one of which holds the role that decides in its place.
 func (f *observationForwarder) groupByAddress(observations []state.Observation) map[string][]state.Observation {
 	ids := make([]string, 0, len(observations))
 	for _, observation := range observations {
--- a/serving/agent/rollouts.go
+++ b/serving/agent/rollouts.go
@@ -27,11 +27,12 @@
 // rolloutRelay holds the proxy's newest report on each roll-out and decides when the reports are sent to the core.
 type rolloutRelay struct {
 	reports map[uint64]state.RolloutReport // by OrderRevision
-	urgent  bool                           // send at once: since sentAt the proxy has restarted or counted more bad answers
+	urgent  bool                           // send at once: see storeReports
 	sentAt  time.Time                      // when reports were last sent
 }
 
-// storeReports stores the proxy's newest reports in place of earlier ones on the same roll-outs.
+// storeReports stores the proxy's newest reports in place of earlier ones on the same roll-outs. They are urgent if the
+// proxy has counted more bad answers or has restarted, or reports on a roll-out for the first time.
 func (r *rolloutRelay) storeReports(reports []state.RolloutReport) {
 	if r.reports == nil {
 		r.reports = map[uint64]state.RolloutReport{}
@@ -45,7 +46,7 @@
 	}
 }
 
-// badAnswerCount returns the number of answers of the roll-out's target in a report that failed or were slow.
+// badAnswerCount returns the number of failed or slow answers of the roll-out's target in a report.
 func badAnswerCount(report state.RolloutReport) (bad int) {
 	for _, counts := range report.Routes {
 		bad += counts.Target.Failed + counts.Target.Slow
@@ -88,8 +89,8 @@
 	position uint64               // increases with each renewal; updates are computed since a position
 }
 
-// renew stores leases that were requested at a time. They are counted from the request rather than from the response, so
-// that they end here no later than at the member that granted them.
+// renew stores leases that were requested at requestedAt. They are counted from the request rather than from the
+// response, so that they end here no later than at the member that granted them.
 func (l *rolloutLeases) renew(requestedAt time.Time, leases []state.RolloutLease) {
 	if l.expiry == nil {
 		l.expiry = map[uint64]time.Time{}
@@ -112,7 +113,7 @@
 	return leases
 }
 
-// renewLeases stores leases that were requested at a time and wakes the waiting polls.
+// renewLeases stores leases that were requested at requestedAt and wakes the waiting polls.
 func (p *publisher) renewLeases(requestedAt time.Time, leases []state.RolloutLease) {
 	if len(leases) == 0 {
 		return
--- a/serving/core/departures.go
+++ b/serving/core/departures.go
@@ -9,13 +9,13 @@
 
 const (
 	// departureRetention is how long a departed endpoint stays on disk: as long as gossip retains it in running members.
-	// It prevents that, after the other members have restarted, a member that was partitioned brings the endpoint back.
+	// This prevents a member that was partitioned from bringing the endpoint back after the others have restarted.
 	departureRetention = 20 * time.Minute
 	// minDepartureRetention is how long a departed endpoint stays on disk even if there are more than
 	// maxRetainedDepartures.
 	minDepartureRetention = time.Minute
-	// maxRetainedDepartures is the number of departures beyond which the oldest are dropped after
-	// minDepartureRetention.
+	// maxRetainedDepartures is the number of draining and departed endpoints beyond which surplus departed ones are
+	// dropped after minDepartureRetention, in no particular order.
 	maxRetainedDepartures = 8192
 )
 
--- a/serving/core/endpointrestorer.go
+++ b/serving/core/endpointrestorer.go
@@ -33,9 +33,10 @@
 // endpointRestorer restores the saved endpoints after a start of the process.
 //
 // Endpoints that accept no new requests are published at once: that state was acknowledged to them, and other members
-// may still have an older one. For endpoints that accepted requests the copy on disk may be out of date. Those whose
-// heartbeats this member received, and that aren't back in the table by a heartbeat or by gossip, are restored if a
-// health check confirms that they run under the same ID; the response also says how long they still warm up.
+// may still have an older one. For endpoints that accepted requests the copy on disk may be out of date. Of these, the
+// restorer considers only endpoints whose heartbeats this member received and that neither a heartbeat nor gossip has
+// brought back into the table. It restores such an endpoint if a health check confirms that it runs under the same ID;
+// the response also says how long it still warms up.
 type endpointRestorer struct {
 	self      string // name of this member
 	store     endpointStore
@@ -45,8 +46,8 @@
 	log       *zerolog.Logger
 }
 
-// run restores the endpoints once, and returns all saved ones: nil if none are saved, or ctx ends before the disk can
-// be read.
+// run restores the endpoints once, and returns all saved ones. It returns nil if none are saved, or if ctx ends before
+// the disk can be read.
 func (r *endpointRestorer) run(ctx context.Context) (saved []state.Endpoint) {
 	saved, loaded := r.load(ctx)
 	if !loaded || len(saved) == 0 {
@@ -72,7 +73,7 @@
 	return saved
 }
 
-// load reads the saved endpoints and repeats that while the disk fails. It returns false if ctx ends first.
+// load reads the saved endpoints, and tries again until the disk can be read. It returns false if ctx ends first.
 func (r *endpointRestorer) load(ctx context.Context) ([]state.Endpoint, bool) {
 	ticker := time.NewTicker(loadRetryInterval)
 	defer ticker.Stop()
@@ -104,7 +105,7 @@
 }
 
 // awaitRecord waits until this process knows a committed record, which has the paths of the health checks. It returns
-// false after recordTimeout.
+// false after recordTimeout, or if ctx ends first.
 func (r *endpointRestorer) awaitRecord(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
--- a/serving/core/rollouts.go
+++ b/serving/core/rollouts.go
@@ -26,8 +26,8 @@
 	// leaseShareOfRollback is the duration of a lease as a share of rolloutBounds.rollback. Agents renew leases each
 	// second.
 	leaseShareOfRollback = 0.5
-	// recentOrderFactor times rolloutBounds.acknowledgement is how long after an order the same order counts as a retry
-	// of it.
+	// recentOrderFactor sets the time within which an equal order counts as a retry of the first one:
+	// recentOrderFactor*rolloutBounds.acknowledgement.
 	recentOrderFactor = 3
 )
 
@@ -47,8 +47,8 @@
 
 	mutex sync.Mutex
 	judge *rollout.Judge
-	// rollingBack has the OrderRevision of each roll-out whose rollback was decided. These get no more leases, also while
-	// the decision isn't committed.
+	// rollingBack has the OrderRevision of each roll-out whose rollback was decided. These get no more leases, even
+	// before the decision is committed.
 	rollingBack map[uint64]bool
 }
 
@@ -58,7 +58,8 @@
 	rollback        time.Duration // within which requests to a bad version must cease
 }
 
-// startRollouts starts the controller, which proposes its changes to the given register.
+// startRollouts starts the controller, which proposes its changes to the given register. It also adds the handlers of
+// the agents' reports and of serveSupport to the internal server.
 func (c *coreProcess) startRollouts(lifetime context.Context, replicated operator.ReplicatedRegister) {
 	c.rollouts = &rolloutController{
 		latest: c.node.Latest,
@@ -121,8 +122,8 @@
 	}
 }
 
-// follow passes the roll-outs of the newest committed record that this member knows to the judge, and returns them. The
-// caller holds the mutex.
+// follow updates the judge with the roll-outs of the newest committed record known to this member, and returns them.
+// The caller holds the mutex.
 func (r *rolloutController) follow(now time.Time) []state.Rollout {
 	record, known := r.latest()
 	if !known {
@@ -132,7 +133,8 @@
 	return record.Rollouts
 }
 
-// isRecent reports whether a roll-out was ordered so recently that an equal order may be a retry of the same one.
+// isRecent reports whether a roll-out was ordered so recently that an equal order may be a retry of the same one. It
+// returns true for a roll-out that the judge doesn't know.
 func (r *rolloutController) isRecent(orderRevision uint64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -242,7 +244,7 @@
 }
 
 // capacityOf counts the endpoints of a roll-out's service that accept requests and respond, without those of retired
-// versions. It also returns the software versions of all the service's endpoints except the target.
+// versions. It also returns the software versions, other than the target, of all the service's endpoints.
 func capacityOf(all []state.Endpoint, current *state.Rollout) (capacity rollout.Capacity, versions []string) {
 	seen := map[string]bool{}
 	for _, endpoint := range all {
--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -23,7 +23,8 @@
 //
 // The wait for the proxies is bounded by delivery.AgentTimeout: a proxy that is suspended or unreachable gets the
 // endpoint by gossip. PutReplicated fails with errcode.NotAcknowledged if too few disks can be reached, or too few
-// confirm before ctx ends. The endpoint is sent to all targets and gossiped in any case.
+// confirm before ctx ends. The endpoint is sent to all voters and gossiped in any case, unless it can't be encoded:
+// then the error of encodeEntry is returned.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -15,7 +15,7 @@
 	SoftwareVersion string
 	Slots           int
 	Draining        bool
-	Sequence        uint64        // counts the calls of the endpoint's process
+	Sequence        uint64        // number of the call, counted by the endpoint's process
 	WarmupLeft      time.Duration // until the endpoint is warmed up
 	RemovalIn       time.Duration // until its announced removal; 0: none announced
 	Models          []state.Model
@@ -24,7 +24,7 @@
 // Change is the effect of a heartbeat or a deregistration on the table.
 type Change struct {
 	New       bool // the endpoint wasn't in the table
-	Stale     bool // a newer call was processed already: nothing has changed
+	Stale     bool // the call is outdated or was processed already: the endpoint is unchanged
 	Broadcast bool // the caller has to gossip the endpoint
 	// Replicated means that a majority of the voters is known to have this version of the endpoint on disk.
 	Replicated bool
@@ -60,7 +60,7 @@
 	change := Change{Stale: true, Replicated: e.broadcast.replicated}
 	switch {
 	case !mayBeSuccessor(e.endpoint, heartbeat):
-		e.successor = nil // the process being checked, if any, is closing
+		e.successor = nil // no check is needed: the known process is serving, or the sender is draining
 	case e.successor == nil:
 		e.successor = &heartbeat
 		change.CheckSuccessor = true
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -10,9 +10,10 @@
 // the observations of all proxies, because one proxy of many sends an endpoint too few calls to decide by itself. An
 // ejected endpoint has state.Endpoint.Failing set.
 const (
-	// reportLifetime is how long an observation counts.
+	// reportLifetime is how long the observations of a proxy, added up, count after the last one of them.
 	reportLifetime = 3 * time.Second
-	// minReporters is the number of proxies that must agree: if only one sees failures, the fault may be its own.
+	// minReporters is the number of proxies that must have reported observations: if only one sees failures, the fault
+	// may be its own.
 	minReporters = 2
 	// minFailures is the least number of an outlier's failed calls. outlierFactor is the least ratio of that number to the
 	// average of the service's other endpoints: if all of them fail, the cause is elsewhere, such as overload.
@@ -79,7 +80,7 @@
 	o.reports[observer] = report
 }
 
-// summarize sums up the reports of the last reportLifetime and removes older ones.
+// summarize sums up the reports that were updated within the last reportLifetime, and removes the others.
 func (o *outlierState) summarize(now time.Time) (summary reportSummary) {
 	for observer, report := range o.reports {
 		if now.Sub(report.at) > reportLifetime {
--- a/serving/endpoints/registration.go
+++ b/serving/endpoints/registration.go
@@ -13,18 +13,18 @@
 // mayBeSuccessor reports whether a stale heartbeat (see receiveStaleHeartbeat) may come from a new process, a
 // successor, that has registered under the ID of an earlier one and counts its calls anew. That is possible if the
 // known process has departed, is draining or is unresponsive. The heartbeat may as well be a delayed one of the known
-// process, however long ago that departed: only the process at the heartbeat's address can tell, so it has to be asked.
+// process, even if that departed long ago: only the process at the heartbeat's address can tell, so it has to be asked.
 //
-// If a successor at the same address confirms the check of such a delayed heartbeat, the table has the former process's
-// sequence for it. Its own heartbeats with lower sequences are then stale, until it is marked as unresponsive and is
-// checked again.
+// If the check of such a delayed heartbeat is answered by a successor at the same address, the table stores the former
+// process's sequence for the successor. The successor's own heartbeats, with lower sequences, are then stale until it
+// is marked as unresponsive and is checked again.
 func mayBeSuccessor(former state.Endpoint, heartbeat Heartbeat) bool {
 	isServing := former.State == state.EndpointAccepting && !former.Unresponsive
 	return !isServing && !heartbeat.Draining
 }
 
 // isSuccessorClosing reports whether a stale heartbeat with Draining set counts nevertheless, because the table has a
-// former process's sequence for the present one (see mayBeSuccessor). It does if the ID has had several processes and
+// former process's sequence for the present one (see mayBeSuccessor). It counts if the ID has had several processes and
 // the table has the endpoint as accepting requests at the same address: a process that is draining never accepts
 // requests again, so the known sequence can't be from the process that sent the heartbeat. If the heartbeat is a
 // delayed one of a former process instead, the next heartbeat of the present process corrects the state.
@@ -38,8 +38,8 @@
 
 // ResolveSuccessor takes the result of the check that ReceiveHeartbeat has requested by Change.CheckSuccessor.
 // confirmed means that the process at the heartbeat's address accepts requests under the endpoint's ID; it is then
-// registered with the time that it still warms up. ResolveSuccessor returns false if the process isn't registered: it
-// wasn't confirmed, or the endpoint has changed since the request, which may mean that the new process itself has
+// registered with its remaining warm-up time. ResolveSuccessor returns false if the process isn't registered: it wasn't
+// confirmed, or the endpoint has changed since the check was requested, which may mean that the new process itself has
 // departed.
 func (t *Table) ResolveSuccessor(now time.Time, id string, confirmed bool, warmupLeft time.Duration) (state.Endpoint, bool) {
 	e, known := t.entries[id]
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -14,10 +14,11 @@
 const (
 	// writeGrace is how long after a request's deadline the rest of its response may still be written to a slow client.
 	writeGrace = time.Second
-	// unavailableRetryAfter is sent if no configuration is known or too many large bodies are in memory.
+	// unavailableRetryAfter is the Retry-After that is sent if no configuration is known or too many large bodies are
+	// in memory.
 	unavailableRetryAfter = 250 * time.Millisecond
-	// drainingRetryAfter is sent by a process that is shutting down. It is short, since another proxy can serve the
-	// client at once.
+	// drainingRetryAfter is the Retry-After that a process sends while it is shutting down. It is short, since another
+	// proxy can serve the client at once.
 	drainingRetryAfter = 20 * time.Millisecond
 )
 
@@ -72,8 +73,8 @@
 // Unwrap returns the underlying writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader writes the status line and the headers. While the server drains, or has almost as many connections as it
-// may have, the connection is closed after the response.
+// WriteHeader writes the status line and the headers. While the server drains, or is close to its limit of
+// connections, the connection is closed after the response.
 func (w *responseWriter) WriteHeader(status int) {
 	w.server.metrics.countResponse(status, w.arrivedAt)
 	header := w.Header()
@@ -132,8 +133,8 @@
 	respondError(w, kind, retryAfter)
 }
 
-// rejectUnrouted responds with an error to a request that is not routed. It reads the body nevertheless, so that the
-// response reaches the client.
+// rejectUnrouted responds with an error to a request that is not routed. It reads the body nevertheless: if
+// the connection were closed with unread data, the client could lose the response.
 func (s *Server) rejectUnrouted(
 	w http.ResponseWriter, r *http.Request, arrivedAt time.Time, kind errcode.Kind, wanted time.Duration,
 ) {
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -35,8 +35,8 @@
 	return err == nil && mediaType == "text/event-stream"
 }
 
-// relayStream relays complete events as they arrive. Of a response that resumes a stream, only events are relayed: the
-// client has received headers already.
+// relayStream relays complete events as they arrive. If the response resumes a stream, its headers aren't relayed: the
+// client has received those of an earlier response.
 func (f *forwarder) relayStream(
 	response *upstream.Response, reservation placement.Reservation,
 ) (attempt.Outcome, nextStep) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// relayEvents sends complete events to the client, and the headers before the first of them. It returns false if the
-// client has disconnected.
+// relayEvents sends complete events to the client, and the headers before the first of them. It returns false if they
+// can't be written to the client.
 func (f *forwarder) relayEvents(response *upstream.Response, events []byte) bool {
 	if !f.stream.started {
 		f.stream.started = true
@@ -98,7 +98,7 @@
 }
 
 // dropRelayed returns the events that are to be sent, and records the last ID among them. An endpoint that resumes a
-// stream may repeat events; those that have been sent already are left out.
+// stream may repeat events; those with an ID that has been sent already are left out.
 func (s *streamProgress) dropRelayed(events []byte, resumed bool) []byte {
 	if !resumed || s.lastEventID == "" {
 		if id, found := findLastEventID(events); found {
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -29,8 +29,8 @@
 	pushRetryDelay = 200 * time.Millisecond
 )
 
-// caller makes the calls that the node decides on, a bounded number at once. The contexts that its methods get end when the
-// service stops; a call that fails because of that isn't recorded as a failure of the other member.
+// caller makes the calls that the node decides on, a bounded number at once. The contexts passed to its methods end when
+// the service stops; a call that fails because of that isn't recorded as a failure of the other member.
 type caller struct {
 	client  *rpc.Client
 	service *Service
@@ -116,7 +116,7 @@
 }
 
 // startProbe starts the direct and indirect calls of a probe. If no slot is free for the direct one, the node is told that
-// the probe was cancelled; if none is free for a relay's, that the relay got no response.
+// the probe was cancelled. If none is free for the call to a relay, the node is told that the relay got no response.
 func (c *caller) startProbe(ctx context.Context, probe probeCall) {
 	to := probe.heartbeat.to
 	if !startIfFree(c.probeSlots, func() { c.sendHeartbeat(ctx, probe.heartbeat, (*node).processProbeFailure) }) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// requestProbe requests a relay to probe a member, and records the result. A relay of a version that doesn't serve this call
-// answers with an error, which counts as no response.
+// requestProbe requests a relay to probe a member, and records the result. A relay that runs a software version without this
+// call answers with an error, which counts as no response.
 func (c *caller) requestProbe(ctx context.Context, relay, to gossip.Peer) {
 	request := probeRequest{Member: to.Name}
 	response, err := call(ctx, c, relayRequestTimeout, probeMethod, relay.Address, &request)
@@ -155,8 +155,8 @@
 	return true
 }
 
-// markUnresponsive records that a peer didn't respond. It does nothing for a seed that has no name, since only its address
-// is known, and if ctx has ended.
+// markUnresponsive records that a peer didn't respond. It does nothing if ctx has ended, or for a seed without a name, of
+// which only the address is known.
 func (c *caller) markUnresponsive(ctx context.Context, name string) {
 	if ctx.Err() != nil || name == "" {
 		return
@@ -164,7 +164,7 @@
 	c.service.markUnresponsive(name)
 }
 
-// sendPush sends a message and then those of the offered entries that the receiver requests. The entries are retried by
+// sendPush sends a message and then the offered entries that the receiver requests. The entries are retried by
 // another path, once, if there is no response within pushRetryDelay or one of the calls fails.
 func (c *caller) sendPush(ctx context.Context, envelope gossip.Envelope) {
 	retry := func() { c.service.run(func(now time.Time, n *node) { n.engine.Retry(now, envelope) }) }
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -245,8 +245,8 @@
 const leaveAcknowledgements = 3
 
 // Leave marks the local member as left and notifies the other members, so that they need not detect its shutdown. It
-// returns when leaveAcknowledgements of them, or all if there are fewer, have acknowledged that. Errors are those of
-// PutReplicated.
+// returns when leaveAcknowledgements of them, or all if there are fewer, have acknowledged its departure. Errors are
+// those of PutReplicated.
 func (s *Service) Leave(ctx context.Context) error {
 	left := query(s, func(now time.Time, n *node) gossip.Entry {
 		n.updateSelf(now, func(member *state.Member) { member.State = state.MemberLeft })
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -21,8 +21,8 @@
 	request heartbeatRequest
 }
 
-// probeCall is a probe of an unconfirmed member, one that there is no recent evidence of being alive. The local member sends
-// it a heartbeat and requests other members, the relays, to send it one too (an indirect probe, as SWIM's ping-req).
+// probeCall is a probe of an unconfirmed member, one without recent evidence that it is alive. The local member sends it
+// a heartbeat and asks other members, the relays, to send it one as well (an indirect probe, as SWIM's ping-req).
 type probeCall struct {
 	heartbeat heartbeatCall
 	relays    []gossip.Peer
@@ -66,7 +66,7 @@
 }
 
 // tickMembership runs the failure detector, gossips its new suspicions and withdrawals, and removes the entries of members
-// that have been down or departed for long.
+// that went down or left long ago.
 func (n *node) tickMembership() {
 	suspicions, removed := n.members.Tick(n.now)
 	for _, suspicion := range suspicions {
@@ -102,7 +102,7 @@
 }
 
 // heartbeatCalls returns the heartbeats to the local member's watchers. Watchers in other regions get one in every
-// RemoteIntervalFactor-th interval only, and in the next interval if one of them got no response. Members whose own
+// RemoteIntervalFactor-th interval only, and in the next interval if one of them didn't respond. Members whose own
 // heartbeats are overdue get one too, since their response shows that they are alive.
 func (n *node) heartbeatCalls() (calls []heartbeatCall) {
 	self := n.members.Self()
--- a/serving/proxy/agent_poller.go
+++ b/serving/proxy/agent_poller.go
@@ -24,8 +24,8 @@
 	minPollDelay = 20 * time.Millisecond
 	// applyTimeShare is the share of the time that the proxy may spend on applying updates. The delay before the next
 	// poll follows from it, up to maxPollDelay.
-	maxPollDelay   = 250 * time.Millisecond
 	applyTimeShare = 0.02
+	maxPollDelay   = 250 * time.Millisecond
 	// The delay after a failed poll starts at minReconnectDelay, because agent and proxy are usually started together.
 	// It doubles with each further failure up to maxReconnectDelay, because an agent that is down need not be polled
 	// often.
@@ -164,7 +164,7 @@
 	}
 }
 
-// logConnectionRestored logs a successful poll if the poll before failed.
+// logConnectionRestored logs a successful poll if the previous poll failed.
 func (a *agentPoller) logConnectionRestored() {
 	if a.disconnected {
 		a.disconnected = false
@@ -172,7 +172,7 @@
 	}
 }
 
-// logConnectionLost logs a failed poll, unless the poll before failed too or the process is shutting down.
+// logConnectionLost logs a failed poll, unless the previous poll failed too or the process is shutting down.
 func (a *agentPoller) logConnectionLost(ctx context.Context, err error) {
 	if !a.disconnected && ctx.Err() == nil {
 		a.disconnected = true
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection to an endpoint that has been idle longest. It returns false if none is idle.
+// closeOldestIdle closes the one of an endpoint's connections that has been idle longest. It returns false if none is
+// idle.
 // The caller holds the lock.
 func (p *Pool) closeOldestIdle(connections *endpointConnections) bool {
 	if len(connections.idle) == 0 {
@@ -163,8 +164,8 @@
 	return true
 }
 
-// putIdle makes a connection idle whose request has ended cleanly. The connection can be used again until idleTimeout
-// has passed; if that is not positive, or the pool is closed, the connection is closed instead.
+// putIdle makes a connection idle after its request has ended cleanly. The connection can be used again until
+// idleTimeout has passed; if that is not positive, or the pool is closed, the connection is closed instead.
 func (p *Pool) putIdle(endpointID string, c *connection, idleTimeout time.Duration) {
 	now := time.Now()
 	c.idleSince, c.idleUntil = now, now.Add(idleTimeout)
@@ -211,7 +212,7 @@
 	}
 }
 
-// closeConnection closes a connection that the caller has removed from the lists, and counts it as open no more. The
+// closeConnection closes a connection that the caller has removed from the lists, and no longer counts it as open. The
 // connection may be nil (see discard). The caller holds the lock.
 func (p *Pool) closeConnection(connections *endpointConnections, c *connection) {
 	if c != nil {
--- a/serving/upstream/response.go
+++ b/serving/upstream/response.go
@@ -88,9 +88,9 @@
 	r.bodyRead = err == nil
 }
 
-// fail ends the call with a failure. If the client has disconnected, the outcome is Canceled. Otherwise a ConnectFailed
-// stays, and any other outcome is replaced by TimedOut if the progress timeout has ended the attempt or the deadline
-// has passed.
+// fail ends the call with a failure. If the client has disconnected, the outcome is Canceled. Otherwise
+// ConnectFailed is kept, and any other outcome is replaced by TimedOut if the progress timeout has ended the attempt or
+// the deadline has passed.
 func (r *Response) fail(cause error, outcome attempt.Outcome) *Failure {
 	failure := &Failure{Outcome: outcome, Cause: cause}
 	switch {
