--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -72,7 +72,7 @@
 	stored, failed := 0, 0
 	for stored < quorum {
 		if copies-failed < quorum {
-			return errcode.NotAcknowledged.With("%d of %d disks confirmed, %d failed", stored, quorum, failed)
+			return errcode.NotAcknowledged.With("%d disks confirmed, %d needed, %d failed", stored, quorum, failed)
 		}
 		select {
 		case err := <-results:
@@ -82,7 +82,7 @@
 				failed++
 			}
 		case <-ctx.Done():
-			return errcode.NotAcknowledged.With("%d of %d disks confirmed in time", stored, quorum)
+			return errcode.NotAcknowledged.With("%d disks confirmed in time, %d needed", stored, quorum)
 		}
 	}
 	return nil
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -43,7 +43,7 @@
 	before := e.endpoint
 	switch {
 	case !known:
-	case isSuccessorClosing(before, heartbeat):
+	case isSuccessorDraining(before, heartbeat):
 		e.endpoint.Registration++
 	case heartbeat.Sequence <= before.Sequence, isOfEarlierRegistration(before, heartbeat):
 		return e.snapshotAt(now), e.receiveStaleHeartbeat(heartbeat)
@@ -120,9 +120,9 @@
 	}
 	warmupExtended := e.warmupEnds.After(e.broadcast.warmupEnds.Add(timeTolerance))
 	warmedUp := e.warmupEnds.IsZero() && !e.broadcast.warmupEnds.IsZero()
-	removalAdvanced := !e.removalDue.IsZero() &&
+	removalIsEarlier := !e.removalDue.IsZero() &&
 		(e.broadcast.removalDue.IsZero() || e.removalDue.Before(e.broadcast.removalDue.Add(-timeTolerance)))
-	return warmupExtended || warmedUp || removalAdvanced
+	return warmupExtended || warmedUp || removalIsEarlier
 }
 
 // isEquivalent reports whether two states of an endpoint differ in nothing that proxies or the member responsible for
--- a/serving/endpoints/registration.go
+++ b/serving/endpoints/registration.go
@@ -23,12 +23,12 @@
 	return !isServing && !heartbeat.Draining
 }
 
-// isSuccessorClosing reports whether a stale heartbeat with Draining set counts nevertheless, because the table has a
+// isSuccessorDraining reports whether a stale heartbeat with Draining set counts nevertheless, because the table has a
 // former process's sequence for the present one (see mayBeSuccessor). It counts if the ID has had several processes and
 // the table has the endpoint as accepting requests at the same address: a process that is draining never accepts
 // requests again, so the known sequence can't be from the process that sent the heartbeat. If the heartbeat is a
 // delayed one of a former process instead, the next heartbeat of the present process corrects the state.
-func isSuccessorClosing(known state.Endpoint, heartbeat Heartbeat) bool {
+func isSuccessorDraining(known state.Endpoint, heartbeat Heartbeat) bool {
 	return heartbeat.Draining &&
 		heartbeat.Sequence <= known.Sequence &&
 		known.State == state.EndpointAccepting &&
--- a/serving/httpserver/handler.go
+++ b/serving/httpserver/handler.go
@@ -136,7 +136,7 @@
 // rejectUnrouted responds with an error to a request that is not routed. It reads the body nevertheless: if
 // the connection were closed with unread data, the client could lose the response.
 func (s *Server) rejectUnrouted(
-	w http.ResponseWriter, r *http.Request, arrivedAt time.Time, kind errcode.Kind, wanted time.Duration,
+	w http.ResponseWriter, r *http.Request, arrivedAt time.Time, kind errcode.Kind, wantedRetryAfter time.Duration,
 ) {
 	end := deadline(arrivedAt, r.Header, defaultTimeout)
 	if client := connectionFromContext(r.Context()); client != nil {
@@ -151,7 +151,7 @@
 	s.bodyMemory.release(r.ContentLength)
 	retryAfter := time.Duration(0)
 	if kind.Status == http.StatusServiceUnavailable {
-		retryAfter = clampRetryAfter(wanted, time.Until(end))
+		retryAfter = clampRetryAfter(wantedRetryAfter, time.Until(end))
 	}
 	respondError(w, kind, retryAfter)
 }
--- a/serving/httpserver/stream.go
+++ b/serving/httpserver/stream.go
@@ -19,7 +19,7 @@
 type streamProgress struct {
 	started      bool   // the headers have been sent
 	lastEventID  string // of the last event sent that has an ID
-	filterBuffer []byte // reused by dropRelayed
+	filterBuffer []byte // reused by withoutRelayed
 }
 
 // isEventStream reports whether a response is a stream of events. On a route for streams, a response of unknown length
@@ -72,7 +72,7 @@
 		f.writer.Header().Del("Content-Length") // another attempt may complete the stream with another length
 		f.writer.WriteHeader(response.Status)
 	}
-	events = f.stream.dropRelayed(events, f.attempts > 0)
+	events = f.stream.withoutRelayed(events, f.attempts > 0)
 	if len(events) == 0 {
 		return true
 	}
@@ -97,9 +97,9 @@
 	return outcome, nextRetry
 }
 
-// dropRelayed returns the events that are to be sent, and records the last ID among them. An endpoint that resumes a
+// withoutRelayed returns the events that are to be sent, and records the last ID among them. An endpoint that resumes a
 // stream may repeat events; those with an ID that has been sent already are left out.
-func (s *streamProgress) dropRelayed(events []byte, resumed bool) []byte {
+func (s *streamProgress) withoutRelayed(events []byte, resumed bool) []byte {
 	if !resumed || s.lastEventID == "" {
 		if id, found := findLastEventID(events); found {
 			s.lastEventID = id
--- a/test/integration/mutants/endpoints_table_test.go
+++ b/test/integration/mutants/endpoints_table_test.go
@@ -54,7 +54,7 @@
 	{
 		name:    "a closing with a lower count than the former process's has no effect",
 		file:    "serving/endpoints/heartbeat.go",
-		old:     "case isSuccessorClosing(before, heartbeat):",
+		old:     "case isSuccessorDraining(before, heartbeat):",
 		replace: "case false:",
 		pkg:     "serving/endpoints", tests: "TestTable",
 	},
