--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -23,7 +23,8 @@
 //
 // The wait for the proxies is bounded by delivery.AgentTimeout: a proxy that is suspended or unreachable gets the
 // endpoint by gossip. PutReplicated fails with errcode.NotAcknowledged if too few disks can be reached, or too few
-// confirm before ctx ends. The endpoint is sent to all targets and gossiped in any case.
+// confirm before ctx ends. The endpoint is sent to all voters and gossiped in any case, unless it can't be encoded:
+// then the error of encodeEntry is returned.
 func (x *Exchange) PutReplicated(ctx context.Context, endpoint state.Endpoint, targets quorum.Targets) error {
 	entry, err := encodeEntry(endpoint)
 	if err != nil {
@@ -71,7 +72,7 @@
 	stored, failed := 0, 0
 	for stored < quorum {
 		if copies-failed < quorum {
-			return errcode.NotAcknowledged.With("%d of %d disks confirmed, %d failed", stored, quorum, failed)
+			return errcode.NotAcknowledged.With("%d disks confirmed, %d needed, %d failed", stored, quorum, failed)
 		}
 		select {
 		case err := <-results:
@@ -81,7 +82,7 @@
 				failed++
 			}
 		case <-ctx.Done():
-			return errcode.NotAcknowledged.With("%d of %d disks confirmed in time", stored, quorum)
+			return errcode.NotAcknowledged.With("%d disks confirmed in time, %d needed", stored, quorum)
 		}
 	}
 	return nil
