--- a/serving/delivery/agentnotifier.go
+++ b/serving/delivery/agentnotifier.go
@@ -14,9 +14,9 @@
 	// AgentTimeout bounds the wait for the agents. An endpoint waits one second for the acknowledgement of its request, so
 	// the wait has to be shorter.
 	AgentTimeout = 400 * time.Millisecond
-	// AgentSkipTime is how long an agent that didn't confirm an entry in time isn't waited for. It is waited for again
-	// earlier if it confirms an entry. Its machine may be suspended or unreachable, which must not delay the
-	// acknowledgements to others.
+	// AgentSkipTime is how long the notifier doesn't wait for an agent that confirmed an entry too late or not at all.
+	// It waits for the agent again earlier if the agent confirms an entry. The agent's machine may be suspended or
+	// unreachable, which must not delay the acknowledgements to others.
 	AgentSkipTime = 5 * time.Second
 	// agentInterval is the least time between two calls to an agent.
 	agentInterval = 50 * time.Millisecond
@@ -79,7 +79,7 @@
 type Notification struct {
 	notifier  *AgentNotifier
 	send      func(address string) (result <-chan error)
-	timeout   <-chan struct{}         // closed AgentTimeout after the start
+	timeout   <-chan struct{}         // closed when AgentTimeout has passed since Start
 	awaited   map[string]<-chan error // results of the agents that are waited for, by address
 	unawaited map[string]bool         // addresses of the agents that got the entry but aren't waited for
 }
@@ -169,8 +169,8 @@
 // Unawaited returns the number of agents that the entry was sent to without waiting for them.
 func (n *Notification) Unawaited() int { return len(n.unawaited) }
 
-// Wait waits until all awaited agents have confirmed the entry or AgentTimeout is over. It returns the number of awaited
-// agents that haven't confirmed.
+// Wait waits until all awaited agents have confirmed the entry or AgentTimeout is over. While this member is joining,
+// it also waits for agents that may still become known. It returns the number of awaited agents that haven't confirmed.
 func (n *Notification) Wait() (unconfirmed int) {
 	n.awaitJoin()
 	for address, result := range n.awaited {
--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -10,18 +10,20 @@
 // Times and limits of pushing entries.
 const (
 	// coalesceDelay is the time from the first change until the messages that carry it are sent. While messages are
-	// sent often, the time between two sendings grows up to maxCoalesceDelay, see minInterval.
+	// sent often, the time between two sends grows up to maxCoalesceDelay, see minInterval.
 	coalesceDelay    = 20 * time.Millisecond
 	maxCoalesceDelay = 100 * time.Millisecond
-	// rateWindow is the time constant of the average send rate.
+	// rateWindow is the time constant with which the count of sends decays, see rateAt.
 	rateWindow = time.Second
 	// zoneFanout and regionFanout are the numbers of members to which a member pushes an entry, in its own zone and in
 	// the region's other zones.
 	zoneFanout   = 2
 	regionFanout = 1
-	// maxPushedValue is the maximum size of a pushed value, in bytes. A longer one is offered and sent on request.
+	// maxPushedValue is the maximum size of a pushed value, in bytes. Of an entry with a longer one, only the header is
+	// sent (an offer), and the entry on request.
 	maxPushedValue = 2048
-	// maxPushedEntries is the maximum number of entries that are pushed at once. If there are more, all are offered.
+	// maxPushedEntries is the maximum number of entries that are pushed at once. If there are more, all are sent as
+	// offers.
 	maxPushedEntries = 32
 	// maxDeliveryRetries is the maximum number of retries of one delivery.
 	maxDeliveryRetries = 2
@@ -37,7 +39,7 @@
 
 // delivery describes where a queued entry has to be sent.
 type delivery struct {
-	from           string   // name of the member that sent it, to which it isn't returned
+	from           string   // name of the member that sent the entry, to which it isn't sent back
 	toRegion       bool     // to a few members of the local region
 	toOtherRegions bool     // to one member of each other region
 	toZones        []string // to a member of each of these zones, directly and by relay
@@ -52,13 +54,13 @@
 	sendRate   float64 // see rateAt, as of lastSent
 }
 
-// minInterval returns the minimum time between two sendings. It grows with the recent send rate, so that a burst of
+// minInterval returns the minimum time between two sends. It grows with the recent send rate, so that a burst of
 // changes is sent in few messages that contain only the newest entry of each key.
 func (q *sendQueue) minInterval(now time.Time) time.Duration {
 	return min(maxCoalesceDelay, time.Duration(q.rateAt(now)*float64(coalesceDelay)))
 }
 
-// rateAt returns the approximate number of sendings in the last rateWindow, as an exponentially decaying average.
+// rateAt returns approximately the number of sends in the last rateWindow: a count that decays exponentially.
 func (q *sendQueue) rateAt(now time.Time) float64 {
 	return q.sendRate * math.Exp(-float64(now.Sub(q.lastSent))/float64(rateWindow))
 }
@@ -124,8 +126,9 @@
 }
 
 // Retry schedules another delivery of the entries of a message that was not sent or not acknowledged: to a member of
-// the receiver's zone, and by relay through a third zone. The caller also passes the receiver to MarkUnresponsive, so
-// that another member of the zone is selected.
+// the receiver's zone, and by relay through a third zone. It doesn't retry ephemeral entries, and retries others at
+// most maxDeliveryRetries times. The caller also passes the receiver to MarkUnresponsive, so that another member of the
+// zone is selected.
 func (e *Engine) Retry(now time.Time, envelope Envelope) {
 	if envelope.retries >= maxDeliveryRetries {
 		return
--- a/serving/gossip/repair.go
+++ b/serving/gossip/repair.go
@@ -43,9 +43,9 @@
 	return differing
 }
 
-// RecordDifference records which tables differ from those of another member; with no tables, that none does. It ignores
-// a difference with another region unless shouldRepairRemotely selects it, and keeps the recorded one if that still
-// applies.
+// RecordDifference records which tables differ from those of another member. If none does, it drops a recorded
+// difference with that member. It ignores a difference with another region unless shouldRepairRemotely selects it. It
+// keeps the recorded difference if that still applies and the new one is with the local region.
 func (e *Engine) RecordDifference(now time.Time, name string, tables []TableID) {
 	peer, known := e.peersByName[name]
 	if !known {
@@ -99,7 +99,8 @@
 	return due
 }
 
-// TakeDueRepair returns the repair that is due, which the caller then carries out. It returns false if none is due.
+// TakeDueRepair returns the repair that is due, which the caller then carries out. It returns false if none is due or
+// no partner is available.
 func (e *Engine) TakeDueRepair(now time.Time) (RepairTask, bool) {
 	recorded := e.nextRepair
 	due := e.NextRepairTime()
--- a/serving/membership/confirmation.go
+++ b/serving/membership/confirmation.go
@@ -7,14 +7,14 @@
 )
 
 // Times used to confirm that members are alive. A dead member is considered live for at most maxEvidenceAge, plus one
-// confirmationInterval, plus the time for the probes, whichever other members die before, with or after it. If all of
-// them die at the same moment, the suspicions of their live watchers end the evidence earlier: after
-// RemoteSuspicionTimeout.
+// confirmationInterval, plus the time for the probes, no matter which other members die too. If all of them die at the
+// same moment, the suspicions of their live watchers end the evidence earlier: after RemoteSuspicionTimeout.
 const (
 	// contactPeriod is how long a call or response from a member counts as evidence that it is alive: twice the
 	// heartbeat interval between regions.
 	contactPeriod = 2 * RemoteIntervalFactor * HeartbeatInterval
-	// maxEvidenceAge is the maximum age of evidence while many members are failing, see massFailureThreshold.
+	// maxEvidenceAge is the maximum age of evidence while many members are failing, see massFailureThreshold. It is
+	// also how long a new version of a member counts as evidence.
 	maxEvidenceAge = 4400 * time.Millisecond
 	// suspicionDeliveryTime is the time allowed, after a suspicion timeout has ended, for the suspicion to be issued
 	// and to arrive by gossip.
@@ -28,9 +28,9 @@
 	confirmationInterval = 200 * time.Millisecond
 )
 
-// evaluateConfirmations detects dead members about which no suspicion arrives because their watchers died with them,
-// and the watchers of those watchers as well. Live members without evidence that they are alive become unconfirmed and
-// are probed; those that respond to no probe are marked as down.
+// evaluateConfirmations detects dead members about which no suspicion arrives: their watchers have died too, and so
+// have the watchers of those watchers. Live members without evidence that they are alive become unconfirmed and are
+// probed; those that respond to no probe are marked as down.
 //
 // Evidence that a member is alive comes from direct contact, or from a live watcher that doesn't suspect it. Since a
 // watcher suspects a dead member only after the suspicion timeout and the delivery of its suspicion (maxReportDelay),
@@ -83,10 +83,10 @@
 }
 
 // propagateEvidence updates reachable and evidenceAt of the link's member from its watcher, and reports whether either
-// changed. The member becomes reachable once the watcher has been assigned for maxReportDelay. As evidence, the
-// watcher's silence counts only for the time since it began to watch, and only if there is evidence that the member was
-// alive after that. Without such evidence, the watcher may have considered the member down when it began to watch, and
-// then never issues a suspicion.
+// changed. The member becomes reachable once the watcher has been assigned and live for maxReportDelay. That the
+// watcher issued no suspicion is evidence only for the time since it began to watch, and only if there is other
+// evidence that the member was alive after that. Without such evidence, the watcher may have considered the member down
+// when it began to watch, and then never issues a suspicion.
 func (l *watchLink) propagateEvidence(now time.Time) (changed bool) {
 	since := l.since
 	if l.watcher.liveSince.After(since) {
--- a/serving/membership/partition.go
+++ b/serving/membership/partition.go
@@ -7,7 +7,8 @@
 	"rowanlink/serving/state"
 )
 
-// zoneProbePeriod is how long a zone is probed without a response before it counts as unreachable.
+// zoneProbePeriod is how long a zone is probed without a response before it counts as unreachable, and how long contact
+// with a zone counts as recent.
 const zoneProbePeriod = 900 * time.Millisecond
 
 // evaluateZones marks the suspected members of zones that are no longer reachable from the local zone as down.
@@ -17,7 +18,7 @@
 // such watchers. Therefore evaluateZones looks for a set of other zones from which no member outside the set receives
 // anything.
 //
-// Such a zone is at first only suspect, because perhaps just the few members that are watched from outside have died.
+// A zone of that set is at first only suspect: perhaps just its few members that are watched from outside have died.
 // Its members are probed for zoneProbePeriod, see MembersToProbe, and any response clears the zone. A member that
 // nobody suspects may be alive and have lost its watchers; it is left to evaluateConfirmations.
 func (t *Table) evaluateZones(now time.Time) {
@@ -48,9 +49,10 @@
 }
 
 // unreachableZones returns the largest set of zones without recent contact from which no member outside the set
-// receives anything. That is so if every member of the set that has watchers outside is suspected by the majority of
-// them, and if every zone outside the set has a member that watches and suspects a member of each zone in the set; a
-// zone outside without one might still receive heartbeats that the others don't. See isZoneUnreachable.
+// receives anything. Two conditions show that. Each member of the set that has live watchers outside is suspected by
+// the majority of these watchers. And for each zone in the set, every zone outside has a watcher that suspects a member
+// of it: a zone outside without such a watcher might still receive heartbeats that the others don't. See
+// isZoneUnreachable.
 func (t *Table) unreachableZones(now time.Time) map[string]bool {
 	if len(t.suspicions) == 0 {
 		return nil
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -30,7 +30,7 @@
 	ringRetention = 5 * time.Second
 	// A watcher extends its suspicion timeouts by its own lateness (see RecordDelay) times localLatenessFactor, at most
 	// by maxTimeoutExtension. A lateness up to latenessThreshold is normal and ignored. Each further sample reduces the
-	// recorded lateness by 1/latenessDecay.
+	// recorded lateness by the fraction 1/latenessDecay.
 	localLatenessFactor = 6
 	maxTimeoutExtension = 3 * time.Second
 	latenessThreshold   = 50 * time.Millisecond
@@ -108,8 +108,8 @@
 	lastLiveAt time.Time
 }
 
-// Change describes a change of a member: a new version, after which the member is live or has left, or its being marked
-// as down.
+// Change describes a change of a member: either a new version of it has arrived, after which it is live or has left, or
+// it was marked as down.
 type Change struct {
 	Member state.Member
 	Live   bool
--- a/serving/placement/health.go
+++ b/serving/placement/health.go
@@ -25,8 +25,8 @@
 	unhealthyFailureRate = 0.25
 	// failureSmoothing is the weight of a new outcome in the failure rate.
 	failureSmoothing = 1.0 / 8
-	// maxEjectedShare is the share of a service's endpoints that may be ejected. If more are, the cause must lie outside
-	// of them, and the remaining endpoints must not get the whole load.
+	// maxEjectedShare is the share of a service's endpoints that may be ejected. If more are, the cause is probably not
+	// the endpoints, and the remaining ones must not get the whole load.
 	maxEjectedShare = 0.5
 )
 
@@ -40,7 +40,8 @@
 	probe               *call // the one call in flight while the endpoint is ejected
 }
 
-// isEjected reports whether the endpoint is ejected. Unless majorityEjected is set, it then gets probes only.
+// isEjected reports whether the endpoint is ejected. Unless most of the service's endpoints are
+// (service.majorityEjected), it then gets probes only.
 func (h *health) isEjected() bool { return h.consecutiveFailures >= ejectionThreshold }
 
 // recordSuccess ends backoff and ejection.
@@ -70,7 +71,8 @@
 	h.setBackoff(now, h.rejections-1, maxRejectionBackoff, random)
 }
 
-// eject ejects the endpoint at once, with the longest backoff.
+// eject ejects the endpoint at once. The backoff is the longest one that the schedule has for retry ejectionThreshold:
+// 400 ms, or maxMajorityBackoff if that is the limit.
 func (h *health) eject(now time.Time, limit time.Duration) {
 	h.consecutiveFailures = ejectionThreshold
 	h.setBackoff(now, ejectionThreshold, limit, 1)
@@ -132,8 +134,8 @@
 }
 
 // ejectIfUnresponsive ejects an endpoint that has shown no activity on any call since the call that has now ended was
-// sent. Calls that hang take long to end, so waiting for ejectionThreshold of them in a row would make each of them
-// late.
+// sent, if that call lasted at least the hang time (see hangFactor). Calls that hang take long to end, so waiting for
+// ejectionThreshold of them in a row would make each of them late.
 func (e *endpoint) ejectIfUnresponsive(now time.Time, c *call) {
 	hangTime := max(hangFactor*c.expectedFirstByte, minHangTime)
 	active := c.gotFirstByte || e.lastActivityAt.After(c.sentAt)
@@ -143,7 +145,8 @@
 	e.health.eject(now, e.service.maxBackoff())
 }
 
-// recordRecovery records that an ejected endpoint responds again: it may have restarted and lost its caches.
+// recordRecovery resets the cache and warm-up state of an ejected endpoint that responds again: it may have restarted
+// and lost its caches.
 func (p *Picker) recordRecovery(now time.Time, e *endpoint) {
 	if !e.health.isEjected() {
 		return
--- a/serving/placement/prefix_owner.go
+++ b/serving/placement/prefix_owner.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// maxPrefixOwners is how many endpoints, in rendezvous order, may act as the owner of a prefix.
+	// maxPrefixOwners is how many endpoints of a region can be the owner of a prefix: the first ones in rendezvous
+	// order.
 	maxPrefixOwners = 3
 	// An owner takes a request only while its calls in flight are at most ownerLoadFactor times the mean of its region,
 	// plus ownerLoadSlack (consistent hashing with bounded loads).
@@ -16,8 +17,9 @@
 
 // findPrefixRegion sets s.prefixRegion if prefilling the shared blocks of a prompt in each region costs more than
 // sending the request to another region. The prefix region is that of the first endpoint in rendezvous order over all
-// regions, which is the same for all proxies. Once requests have paid as much latency for going there as prefilling the
-// blocks in the own region would take, the own region's owner caches them too (ski rental).
+// regions that the request allows, which is the same for all proxies. Sending requests there adds latency to each of
+// them. Once the added latencies sum up to the time of prefilling the blocks in the proxy's own region, its requests
+// stay in that region, whose owner then caches the blocks too (ski rental: rent until the rent paid equals the price).
 func (p *Picker) findPrefixRegion(s *candidateSearch) {
 	prefillTime := s.service.prefillTime(s.sharedTokens)
 	if len(s.service.regions) < 2 || remotePrefixWeight*prefillTime < p.longestPathLatency()+crossRegionPenalty {
@@ -79,8 +81,8 @@
 	return float64(owner.inFlight) <= loadBound
 }
 
-// warmupFilter determines whether endpoints that report that they are warming up can own prefixes. They accept only few
-// of a prefix's requests, so they are included only if the region has no other endpoint.
+// warmupFilter determines whether endpoints that report that they are warming up can own prefixes. Such endpoints
+// accept only few of a prefix's requests, so they are included only if the region has no other endpoint.
 type warmupFilter bool
 
 const (
--- a/serving/placement/rollout_observations.go
+++ b/serving/placement/rollout_observations.go
@@ -18,8 +18,9 @@
 )
 
 // rolloutObservations holds this proxy's counts of a service's answers since it first knew of a roll-out. An answer is
-// a response that has begun, or an attempt that failed, broke or timed out before its response began. An answer is bad
-// if it failed or is slow.
+// a response that has begun, or an attempt that failed, broke or timed out before its response began. Time-outs count
+// only where times are compared (see comparesTimes) and, like broken calls, not for load probes. An answer is bad if it
+// failed or is slow.
 type rolloutObservations struct {
 	sequence  uint64                        // of the last report
 	routes    map[string]*state.RouteCounts // by name; "" for all routes beyond state.MaxReportedRoutes
@@ -32,7 +33,8 @@
 	return rolloutObservations{routes: map[string]*state.RouteCounts{}}
 }
 
-// countsOf returns the counts of a call's route, for the target or for the versions in force (the baseline).
+// countsOf returns the counts of a call's route, for the target or for the versions in force (the baseline). It creates
+// them if there are none.
 func (o *rolloutObservations) countsOf(c *call, isTarget bool) *state.AnswerCounts {
 	route := c.route
 	counts := o.routes[route]
@@ -50,8 +52,8 @@
 	return &counts.Baseline
 }
 
-// endpointCountsOf returns the counts of the target's endpoint that a call went to. Calls to load probes are counted
-// separately. The result is nil for endpoints beyond state.MaxReportedEndpoints.
+// endpointCountsOf returns the counts of the target's endpoint that a call went to, and creates them if there are none.
+// Calls to load probes are counted separately. The result is nil for endpoints beyond state.MaxReportedEndpoints.
 func (o *rolloutObservations) endpointCountsOf(c *call) *state.EndpointCounts {
 	id := c.endpoint.info.ID
 	for index := range o.endpoints {
@@ -82,7 +84,7 @@
 }
 
 // forCall returns the roll-out in progress for which a call's answer is counted, and whether the call went to the
-// target. It returns nil if there is none, or if the target has no endpoints yet and there is nothing to compare.
+// target. It returns nil if the service has no such roll-out, or if the target has no endpoints to compare yet.
 func (r *rollouts) forCall(c *call) (found *rolloutInProgress, isTarget bool) {
 	found = r.inProgress[c.endpoint.service.name]
 	if found == nil || len(found.target.endpoints) == 0 {
@@ -91,7 +93,8 @@
 	return found, c.endpoint.service == found.target
 }
 
-// recordFirstByte counts an answer when its first byte arrives, and whether that is slow.
+// recordFirstByte counts an answer when its first byte arrives. It also counts the answer as slow if the first byte
+// took longer than slowFirstByte.
 func (r *rollouts) recordFirstByte(now time.Time, p *Picker, c *call) {
 	found, isTarget := r.forCall(c)
 	if found == nil {
--- a/serving/register/attempt.go
+++ b/serving/register/attempt.go
@@ -23,13 +23,13 @@
 	attemptFinishedReconfiguration
 )
 
-// attemptResult is the result of one attempt. If the outcome is attemptDecided, record is the committed record and err
-// the update's rejection.
+// attemptResult is the result of one attempt. If the outcome is attemptDecided, record is the committed record, and err
+// is the reason for which the update was rejected, or nil.
 type attemptResult struct {
 	outcome attemptOutcome
 	record  state.Record
 	err     error
-	isJoint bool // the record was committed with outgoing voters, whose majority is still needed
+	isJoint bool // the committed record has outgoing voters: a majority of them is still needed, too
 }
 
 func failedAttempt(err error) attemptResult { return attemptResult{outcome: attemptFailed, err: err} }
--- a/serving/register/majorityrevision.go
+++ b/serving/register/majorityrevision.go
@@ -17,10 +17,10 @@
 	}
 }
 
-// MajorityRevision returns the newest revision that a majority of the voters has accepted, and false if no majority
-// answers before the context ends. Each change that was acknowledged before the call has at most that revision: a
-// majority has accepted the change, and any two majorities of a set have a voter in common. The given set may be out of
-// date: voters that know a newer set return it, and then a majority of that set has to answer too.
+// MajorityRevision returns the highest revision that any voter of an answering majority has accepted, and false if no
+// majority answers. Each change that was acknowledged before the call has at most that revision: a majority has
+// accepted the change, and any two majorities of a set have a voter in common. The given set may be out of date: voters
+// that know a newer set return it, and then a majority of that set has to answer too.
 func MajorityRevision(ctx context.Context, query QueryFunc, set state.ReplicaSet) (revision uint64, known bool) {
 	revisions := newRevisionQuery(set)
 	answers := make(chan revisionAnswer)
--- a/serving/register/voterplacement.go
+++ b/serving/register/voterplacement.go
@@ -24,7 +24,8 @@
 // needs one more vote for a majority than the odd set below it, but tolerates no more losses.
 type voterPlacement struct {
 	desiredVoters int // odd
-	// isDown reports whether no process is running at an address, so that its voter may be replaced.
+	// isDown reports whether the failure detector considers the process at an address down, so that its voter may be
+	// replaced.
 	isDown func(address string) bool
 	// isExpired reports whether an address has been down for so long that no member lists it any more.
 	isExpired func(address string) bool
@@ -117,8 +118,8 @@
 	return p.substitute(voters, position, learners)
 }
 
-// makeOdd adds a voter to an even set, or removes one that is down. Even sets come from deployments with two seeds and
-// from releases in which every core member voted.
+// makeOdd adds a voter to an even set, or removes one: one that is down or, if there are too many, any. Even sets come
+// from deployments with two seeds and from releases in which every core member voted.
 func (p *voterPlacement) makeOdd(voters, learners []state.Replica) []state.Replica {
 	if len(voters)%2 != 0 {
 		return nil
@@ -147,8 +148,8 @@
 	return append(next, p.bestLearner(next, p.availableLearners(next)))
 }
 
-// shrink removes two voters if there are too many, or if two have been down for so long that they won't return: the
-// smaller set tolerates more losses among the rest.
+// shrink removes two voters if there are too many, or if there are more than minVoters and two have been down for so
+// long that they won't return: the smaller set tolerates more losses among the rest.
 func (p *voterPlacement) shrink(voters, _ []state.Replica) []state.Replica {
 	if len(voters) > p.desiredVoters {
 		return p.removeVoter(p.removeVoter(voters))
@@ -166,8 +167,8 @@
 	return next
 }
 
-// spreadZones replaces a voter in a zone whose loss alone would cost the majority by a learner in a zone with fewer
-// voters.
+// spreadZones changes the set if the loss of one zone alone would cost the majority: a learner in a zone with fewer
+// voters replaces a voter of that zone.
 func (p *voterPlacement) spreadZones(voters, learners []state.Replica) []state.Replica {
 	tolerated := len(voters) - (len(voters)/2 + 1) // losses that leave a majority
 	position := slices.IndexFunc(voters, func(voter state.Replica) bool {
--- a/serving/retry/policy.go
+++ b/serving/retry/policy.go
@@ -16,16 +16,17 @@
 )
 
 // Parameters of the backoff. Latency targets are a few hundred milliseconds. With a unit of 20 ms the first backoff is
-// 10 ms on average, so that a request whose endpoint has failed still meets its target, and the sixth backoff reaches the
-// upper bound. While a service stays unavailable, the bound of 400 ms limits each request to fewer than three retries a
-// second.
+// 10 ms on average, so that a request whose endpoint has failed still meets its target, and from the sixth on a backoff
+// can reach the upper bound. While a service stays unavailable, the bound of 400 ms limits each request to about three
+// retries a second.
 const (
 	backoffUnit = 20 * time.Millisecond
 	maxBackoff  = 400 * time.Millisecond
 	// minBudgetWait is the least time after which a request that found the budget exhausted asks again. Each further
 	// request to the service raises the budget.
 	minBudgetWait = 50 * time.Millisecond
-	// maxUndeliveredAttempts bounds the attempts of one request that reach no endpoint that could have run it.
+	// maxUndeliveredAttempts bounds the attempts of one request that don't count toward the route's limit, see
+	// FailedAttempt.CountedAttempts.
 	maxUndeliveredAttempts = 4
 )
 
@@ -46,11 +47,12 @@
 	Number  int             // number of the attempt, from zero
 	Outcome attempt.Outcome // outcome of the attempt
 	// CountedAttempts is the number of attempts, including this one, that count toward the route's limit: all but those
-	// that failed to connect, were at this process's connection limit or were misdirected, since they reached no
-	// endpoint that could have run the request.
+	// that failed to connect, were not sent because this process's connection limit was reached, or were misdirected.
+	// Those reached no endpoint that could have run the request.
 	CountedAttempts int
 	// SentAttempts is the number of attempts, including this one, that reached some endpoint or may have: all but those
-	// that failed to connect or were at the connection limit. If it is zero, the next attempt needs no budget.
+	// that failed to connect or were not sent because of the connection limit. If it is zero, the next attempt needs no
+	// budget.
 	SentAttempts int
 	MayHaveRun   bool          // this or an earlier attempt may have run
 	TimeLeft     time.Duration // time until the request's deadline
@@ -61,9 +63,8 @@
 	Retry   bool
 	Backoff time.Duration
 	End     End
-	// BudgetExhausted means that the request could be retried if the retry budget weren't used up for now. For a stream of
-	// which the client already has a part, the caller doesn't have to end the request but may call Decide again after
-	// Backoff.
+	// BudgetExhausted means that only the retry budget, which is used up for now, prevents a retry. If the client
+	// already has a part of a stream, the caller may call Decide again after Backoff instead of ending the request.
 	BudgetExhausted bool
 }
 
--- a/serving/rollout/evidence.go
+++ b/serving/rollout/evidence.go
@@ -118,7 +118,7 @@
 }
 
 // holdReason returns why the roll-out must not be advanced or promoted for now, or RolloutNoReason if nothing speaks
-// against it. share is the share of alarmThreshold that a test's sum has to reach to hold the roll-out.
+// against it. A test holds the roll-out if its sum reaches the given share of alarmThreshold.
 func (e *evidence) holdReason(share float64) state.RolloutReason {
 	if e.probes.failures.reaches(share) {
 		return state.RolloutFailures
--- a/serving/rollout/judge.go
+++ b/serving/rollout/judge.go
@@ -114,9 +114,11 @@
 	return true
 }
 
-// Decide returns what to do with the roll-out that has the given OrderRevision. It rolls the target back if the evidence
-// shows that its answers are worse. Otherwise the scheduled action is due, unless the target has too few endpoints or the
-// evidence holds the roll-out. A roll-out that is still undecided near the end of its duration is rolled back.
+// Decide returns what to do with the roll-out that has the given OrderRevision. It rolls the target back if the
+// evidence shows that its answers are worse. Otherwise it returns the action that is due by the schedule, or Hold while
+// the target has too few warmed-up endpoints or the evidence gives a reason to hold. A roll-out that is still undecided
+// near the end of its duration is rolled back, unless the target already serves all requests and nothing speaks against
+// it: then it is promoted.
 func (j *Judge) Decide(now time.Time, orderRevision uint64, capacity Capacity) Decision {
 	known := j.rollouts[orderRevision]
 	if known == nil || known.rollout.State != state.RolloutInProgress {
@@ -139,7 +141,7 @@
 	}
 	verdict.Reason = undecidedReason(capacity, holdReason)
 	if verdict.Reason == state.RolloutUnobservable && known.hasServedAll() {
-		// The target was held for so long that the full step is shorter than planned, but nothing speaks against it.
+		// The roll-out was held for so long that the full step is shorter than planned, but nothing speaks against it.
 		verdict.Reason = state.RolloutNoReason
 		return Decision{Action: Promote, Verdict: verdict, FaultSpread: known.evidence.spread()}
 	}
@@ -158,7 +160,8 @@
 	}
 }
 
-// hasServedAll reports whether the target gets all requests and has answered at least one, or there were none to answer.
+// hasServedAll reports whether the target gets all requests and has answered at least one. If neither the target nor
+// the baseline has answered any, no answer is needed.
 func (k *judgedRollout) hasServedAll() bool {
 	all := k.evidence.route(allRoutes)
 	return k.rollout.Step == state.RolloutFull && (all.target.Answers > 0 || all.baseline.Answers == 0)
--- a/serving/routing/amendment.go
+++ b/serving/routing/amendment.go
@@ -9,7 +9,7 @@
 	"rowanlink/serving/schema"
 )
 
-// amendableLists are the lists of a configuration document whose items an amendment can change, since they have names.
+// amendableLists are the lists of a configuration document that an amendment can change: those whose items have names.
 var amendableLists = []string{"routings", "carriers"}
 
 // Amendment changes named items of a configuration document.
@@ -62,7 +62,8 @@
 	return amendment, nil
 }
 
-// collectFunc adds one item of a list in the amendment's document to the list's amendment. path names the list in errors.
+// collectFunc adds one item of the amendment's document to the listAmendment of its list. path names the list in
+// errors.
 type collectFunc func(list *listAmendment, path string, item gjson.Result) error
 
 // collectLists calls collect for each item of each list in a field of the document.
@@ -103,7 +104,7 @@
 	return err
 }
 
-// addItem adds an item that the amendment adds to the list, or that replaces the list's item of the same name.
+// addItem records an item to upsert: it is added to the list, or replaces the list's item of the same name.
 func (l *listAmendment) addItem(path string, item gjson.Result) error {
 	name := itemName(item)
 	if name == "" {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// addRemoval adds the name of an item that the amendment removes.
+// addRemoval records the name of an item to remove from the list.
 func (l *listAmendment) addRemoval(path string, name gjson.Result) error {
 	if name.Type != gjson.String || name.Str == "" {
 		return errcode.AmendmentItemUnnamed.With("%s", path)
--- a/serving/state/rollout.go
+++ b/serving/state/rollout.go
@@ -7,7 +7,7 @@
 
 // The states of a roll-out. The last two are final.
 const (
-	RolloutInProgress RolloutState = iota + 1 // the target gets a share of the requests
+	RolloutInProgress RolloutState = iota + 1 // the target gets a share of the requests that depends on the step
 	RolloutPromoted                           // the target gets all requests
 	RolloutRolledBack                         // the target gets no more requests
 )
@@ -19,15 +19,15 @@
 // The steps of a roll-out, in their order.
 const (
 	RolloutCanary RolloutStep = iota // a few endpoints of the target get a small share
-	RolloutLoad                      // and two more get the number of concurrent requests that they must bear at high load
-	RolloutRamp                      // part of the target's endpoints gets a proportionate part of the traffic
+	RolloutLoad                      // and up to two others (load probes) are brought to the load of a busy endpoint
+	RolloutRamp                      // up to a quarter of the requests goes to the same share of each region's endpoints
 	RolloutFull                      // all new requests go to the target
 )
 
-// RolloutReason says why a roll-out was rolled back.
+// RolloutReason says why a roll-out is held or was rolled back.
 type RolloutReason uint8
 
-// The reasons for which a roll-out is rolled back.
+// The reasons for which a roll-out is held or rolled back.
 const (
 	RolloutNoReason     RolloutReason = iota
 	RolloutFailures                   // the target's answers fail more often than those of the versions in force
@@ -107,10 +107,11 @@
 	Answers int `cbor:"1,keyasint,omitempty"` // answers that have begun, or failed before they began
 	Failed  int `cbor:"2,keyasint,omitempty"` // of these, errors of the endpoint and answers that were interrupted
 	Timed   int `cbor:"3,keyasint,omitempty"` // of the answers, those whose time is compared with the expected time
-	Slow    int `cbor:"4,keyasint,omitempty"` // of the timed ones, those that took several times the expected time
+	// Slow is the number of the timed ones whose first byte took several times the expected time, or never came.
+	Slow int `cbor:"4,keyasint,omitempty"`
 }
 
-// Add returns the sums of both counts.
+// Add returns the sum of both counts, field by field.
 func (c AnswerCounts) Add(other AnswerCounts) AnswerCounts {
 	return AnswerCounts{
 		Answers: c.Answers + other.Answers,
@@ -120,7 +121,7 @@
 	}
 }
 
-// Sub returns the differences of both counts.
+// Sub returns the difference of both counts, field by field.
 func (c AnswerCounts) Sub(other AnswerCounts) AnswerCounts {
 	return AnswerCounts{
 		Answers: c.Answers - other.Answers,
@@ -134,7 +135,7 @@
 // roll-out, so that each report replaces the proxy's earlier ones.
 type RolloutReport struct {
 	OrderRevision uint64        `cbor:"1,keyasint"`           // identifies the roll-out
-	Incarnation   uint64        `cbor:"2,keyasint"`           // of the proxy's process; the counts of each start at zero
+	Incarnation   uint64        `cbor:"2,keyasint"`           // of the proxy's process, each counting from zero
 	Sequence      uint64        `cbor:"3,keyasint"`           // increases with each report of an incarnation
 	Routes        []RouteCounts `cbor:"4,keyasint,omitempty"` // at most MaxReportedRoutes
 	// Endpoints holds the counts of the target's endpoints that answered first, at most MaxReportedEndpoints.
@@ -155,8 +156,8 @@
 	ID      string `cbor:"1,keyasint"`
 	Answers int    `cbor:"2,keyasint,omitempty"`
 	Bad     int    `cbor:"3,keyasint,omitempty"` // failed or slow
-	// LoadProbe means that the counts are those of calls that were sent to load the endpoint, see RolloutLoad. The
-	// endpoint's other calls are counted in a separate entry.
+	// LoadProbe means that the counts are those of calls that were sent to the endpoint as a load probe, see
+	// RolloutLoad. The endpoint's other calls are counted in a separate entry.
 	LoadProbe bool `cbor:"4,keyasint,omitempty"`
 }
 
--- a/webhook/policy/endpoint_list.go
+++ b/webhook/policy/endpoint_list.go
@@ -39,7 +39,7 @@
 		if e.listed {
 			p.addListed(d, e)
 		} else {
-			// An endpoint that is new and not active is forgotten like a removed one.
+			// An endpoint that is new and not active is treated like one that is removed now.
 			p.delistedEndpoints = append(p.delistedEndpoints, e)
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // updateListedRate sets the listed rate to this dispatcher's share of total, the rate in the endpoint list, unless the
-// destination reports its limit itself.
+// destination reports its limit itself. If a route's listed rate changes, its current rate is set to it, too.
 func (p *Policy) updateListedRate(d *destination, r *route, total float64) {
 	share := total / float64(p.settings.Dispatchers)
 	if !p.settings.RatesListed || !isRate(share) || r != nil && r.rateReported {
@@ -97,8 +97,8 @@
 	})
 }
 
-// ReportLoad takes the limit that a destination reports. It replaces the rate from the endpoint list, which may be
-// missing or imprecise.
+// ReportLoad records the limit that a destination reports. The first report replaces the rate from the endpoint list,
+// which may be missing or imprecise; later reports are averaged in.
 func (p *Policy) ReportLoad(report api.LoadReport) {
 	e := p.endpoints[report.Endpoint]
 	share := report.Limit / float64(p.settings.Dispatchers)
@@ -116,9 +116,9 @@
 	r.listedRate += smoothing * (share - r.listedRate)
 }
 
-// newRoute returns a route with a listed rate, in calls per second; its token bucket fills from since on. If no rate
-// is listed (0), the route has an assumed rate until one is reported: one call per second for each slot or, where lists
-// state no rates at all, an equal share of that for each destination.
+// newRoute returns a route with a listed rate, in calls per second; its token bucket begins to fill at since. If no
+// rate is listed (0), the route has an assumed rate until one is reported: one call per second for each slot or, where
+// lists state no rates at all, an equal share of that for each destination.
 func (p *Policy) newRoute(logName api.EndpointID, listedRate float64, since api.Micros) *route {
 	assumed := float64(p.settings.MaxInFlight)
 	if !p.settings.RatesListed {
@@ -156,7 +156,7 @@
 	}
 	cost := func(e *endpoint) float64 {
 		if e.zone != p.settings.Zone {
-			// An endpoint without a measured latency counts with the overall mean, so that it isn't preferred: a call
+			// For an endpoint without a measured latency the overall mean is used, so that it isn't preferred: a call
 			// to another zone occupies its slot for longer.
 			return cmp.Or(e.meanLatency, p.meanLatency) * remoteZonePenalty
 		}
--- a/webhook/policy/outcome.go
+++ b/webhook/policy/outcome.go
@@ -8,8 +8,8 @@
 	"rowanlink/webhook/api"
 )
 
-// AttemptEnded updates the learned state with the result of an attempt. It then schedules a retry, gives the webhook up
-// or, if it has its final answer, forgets it.
+// AttemptEnded updates the learned state with the result of an attempt. It then forgets the webhook if that has
+// its final answer, and otherwise schedules a retry or gives the webhook up.
 func (p *Policy) AttemptEnded(result api.AttemptResult) {
 	p.now = p.host.Now()
 	w := p.webhooks[result.Webhook]
@@ -104,8 +104,8 @@
 }
 
 // rateStep returns the amount by which a success raises the rate, in calls per second. The listed rate may be far too
-// low: where the queue is longer than the rate can send within the latency target, and no call was rejected for long,
-// the step is larger.
+// low: where the queue is longer than the rate can send within the latency target, and no call was rejected for a long
+// time, the step is larger.
 func (p *Policy) rateStep(e *endpoint) float64 {
 	queue := e.destination.queue
 	if len(queue) == 0 || p.now-e.route.rateDecreasedAt <= p.settings.SlowStartDuration {
@@ -139,9 +139,9 @@
 	}
 }
 
-// recordConnectionLimit lowers the endpoint's connection limit after a connection was refused for a limit. The
-// destination runs, so the route doesn't enter slow start. If there is no success for long, the destination may be out
-// of service and refuse all connections: the route becomes unhealthy.
+// recordConnectionLimit lowers the endpoint's connection limit after a connection was refused because of a limit. The
+// destination runs, so the route doesn't enter slow start. If there is no success for a long time, the destination may
+// be out of service and refuse all connections: the route becomes unhealthy.
 func (p *Policy) recordConnectionLimit(e *endpoint) {
 	r := e.route
 	e.connectionLimit = float64(max(e.inFlight-1, 1))
@@ -174,7 +174,7 @@
 		p.recordTimeout(e)
 	}
 	e.consecutiveFailures++
-	// Neither further failures of an ejected endpoint nor a connection reset soon after a success say anything about
+	// Neither further failures of an ejected endpoint nor a connection reset soon after a success says anything about
 	// the route.
 	representative := outcome != api.ConnectionReset || p.now-e.lastSuccessAt > p.settings.OverloadDuration
 	if e.consecutiveFailures <= unhealthyAfterFailures && representative {
--- a/webhook/refresh/scheduler.go
+++ b/webhook/refresh/scheduler.go
@@ -3,7 +3,8 @@
 //
 // The delays between requests protect discovery. One dispatcher that polls four times a second is harmless; but if all
 // dispatchers together send more requests than discovery can serve, rejecting them takes so much of its time that it
-// serves none. An agent on the dispatcher's own machine, to which lists are pushed, serves that dispatcher alone.
+// serves none. Requests to an agent on the dispatcher's own machine, to which lists are pushed, have shorter delays:
+// the agent serves only that dispatcher.
 package refresh
 
 import (
@@ -45,15 +46,15 @@
 	// The first jitteredTimeouts time-outs are each followed by a short random delay, later ones by a delay of the
 	// schedule.
 	jitteredTimeouts = 2
-	// Of longTimeoutInterval requests to an agent, one has the response time-out of a request to discovery, for an
-	// agent that answers more slowly than the protocol expects.
+	// While requests to an agent time out, every longTimeoutInterval-th one has the response time-out of a request to
+	// discovery, for an agent that answers more slowly than the protocol expects.
 	longTimeoutInterval = 32
 )
 
 // Reason says why another request is due.
 type Reason uint8
 
-// Reasons. Their order matters: a reason before Closed isn't a reaction of the other side, such as a refusal.
+// Reasons. Their order matters: those from Closed on are reactions of the other side, such as a refusal, see delay.
 const (
 	Started        Reason = iota // the process has requested nothing yet
 	AddressChanged               // discovery is at another address
@@ -74,9 +75,11 @@
 type Scheduler struct {
 	period api.Micros
 	random *mwcrand.Source
-	// Consecutive requests to discovery that the schedule has delayed, mostly after a refusal or a closed watch;
-	// time-outs; and watches that sent a malformed list.
-	failures, timeouts, malformed int
+	// failures counts the consecutive requests to discovery that the schedule has delayed, mostly after a refusal or a
+	// closed watch.
+	failures  int
+	timeouts  int // consecutive time-outs
+	malformed int // consecutive watches that sent a malformed list
 }
 
 // New returns a Scheduler with a dispatcher's random seed; linePeriod is the time between two lines of a watch,
@@ -125,8 +128,7 @@
 }
 
 // updateCounters updates the numbers of consecutive time-outs and malformed lists, and resets the schedule at a new
-// start or address. delay
-// advances failures.
+// start or address. delay advances failures.
 func (s *Scheduler) updateCounters(reason Reason) {
 	switch reason {
 	case Started, AddressChanged:
