--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -31,10 +31,10 @@
 
 // origin describes where an entry came from, which determines where it is sent.
 type origin struct {
-	local bool     // from this process, so it is also pushed to other regions
-	fresh bool     // newer than the stored entry, so it is pushed within the region
-	from  string   // name of the sender
-	relay []string // zones to which the sender asks to forward it
+	local  bool     // from this process, so it is also pushed to other regions
+	fresh  bool     // newer than the stored entry, so it is pushed within the region
+	sender string   // its name; empty: this process
+	relay  []string // zones to which the sender asks to forward it
 }
 
 // delivery describes where a queued entry has to be sent.
@@ -92,15 +92,15 @@
 
 // enqueue schedules the delivery of an entry. If a delivery of the same key is already queued, the two are merged, and
 // the newest entry is sent.
-func (e *Engine) enqueue(now time.Time, entry Entry, from origin) {
+func (e *Engine) enqueue(now time.Time, entry Entry, source origin) {
 	planned := e.queue.schedule(now, entry.Header().id())
-	planned.from = from.from
-	if len(from.relay) > 0 {
-		planned.toZones = appendMissing(planned.toZones, from.relay)
+	planned.from = source.sender
+	if len(source.relay) > 0 {
+		planned.toZones = appendMissing(planned.toZones, source.relay)
 		planned.retries = maxDeliveryRetries
 	}
-	planned.toRegion = planned.toRegion || from.fresh
-	planned.toOtherRegions = planned.toOtherRegions || from.local && !entry.Table.isEphemeral()
+	planned.toRegion = planned.toRegion || source.fresh
+	planned.toOtherRegions = planned.toOtherRegions || source.local && !entry.Table.isEphemeral()
 }
 
 // NextSendTime returns when TakeOutgoing will have something to send, or the zero time if nothing is queued.
--- a/serving/gossip/engine.go
+++ b/serving/gossip/engine.go
@@ -111,7 +111,7 @@
 			fresh = append(fresh, entry)
 		}
 		if isFresh && !message.NoForward || len(message.Relay) > 0 {
-			e.enqueue(now, entry, origin{fresh: isFresh, from: message.From, relay: message.Relay})
+			e.enqueue(now, entry, origin{fresh: isFresh, sender: message.From, relay: message.Relay})
 		}
 	}
 	return fresh
