--- a/serving/member/requesthandling.go
+++ b/serving/member/requesthandling.go
@@ -76,7 +76,7 @@
 func (n *node) expireEntries(headers []gossip.Header) {
 	for _, header := range headers {
 		switch {
-		case header.Table == gossip.TableMembers && n.members.RemoveTerminated(header.Key):
+		case header.Table == gossip.TableMembers && n.members.RemoveDownOrLeft(header.Key):
 			n.forgetMember(header.Key)
 		case header.Table == gossip.TableSuspicions:
 			n.expireSuspicion(header)
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -287,9 +287,9 @@
 	t.notify(Change{Member: tracked.member, Down: true, Reason: reason})
 }
 
-// RemoveTerminated removes a member that is down or has left, without waiting for the end of its RetentionPeriod. It
+// RemoveDownOrLeft removes a member that is down or has left, without waiting for the end of its RetentionPeriod. It
 // returns false if the member isn't known, is live, or is the local one.
-func (t *Table) RemoveTerminated(name string) bool {
+func (t *Table) RemoveDownOrLeft(name string) bool {
 	tracked, ok := t.members[name]
 	if !ok || tracked.isLive() || name == t.self {
 		return false
