--- a/serving/gossip/delivery.go
+++ b/serving/gossip/delivery.go
@@ -10,18 +10,20 @@
 // Times and limits of pushing entries.
 const (
 	// coalesceDelay is the time from the first change until the messages that carry it are sent. While messages are
-	// sent often, the time between two sendings grows up to maxCoalesceDelay, see minInterval.
+	// sent often, the time between two sends grows up to maxCoalesceDelay, see minInterval.
 	coalesceDelay    = 20 * time.Millisecond
 	maxCoalesceDelay = 100 * time.Millisecond
-	// rateWindow is the time constant of the average send rate.
+	// rateWindow is the time constant with which the count of sends decays, see rateAt.
 	rateWindow = time.Second
 	// zoneFanout and regionFanout are the numbers of members to which a member pushes an entry, in its own zone and in
 	// the region's other zones.
 	zoneFanout   = 2
 	regionFanout = 1
-	// maxPushedValue is the maximum size of a pushed value, in bytes. A longer one is offered and sent on request.
+	// maxPushedValue is the maximum size of a pushed value, in bytes. Of an entry with a longer one, only the header is
+	// sent (an offer), and the entry on request.
 	maxPushedValue = 2048
-	// maxPushedEntries is the maximum number of entries that are pushed at once. If there are more, all are offered.
+	// maxPushedEntries is the maximum number of entries that are pushed at once. If there are more, all are sent as
+	// offers.
 	maxPushedEntries = 32
 	// maxDeliveryRetries is the maximum number of retries of one delivery.
 	maxDeliveryRetries = 2
@@ -29,15 +31,15 @@
 
 // origin describes where an entry came from, which determines where it is sent.
 type origin struct {
-	local bool     // from this process, so it is also pushed to other regions
-	fresh bool     // newer than the stored entry, so it is pushed within the region
-	from  string   // name of the sender
-	relay []string // zones to which the sender asks to forward it
+	local  bool     // from this process, so it is also pushed to other regions
+	fresh  bool     // newer than the stored entry, so it is pushed within the region
+	sender string   // its name; empty: this process
+	relay  []string // zones to which the sender asks to forward it
 }
 
 // delivery describes where a queued entry has to be sent.
 type delivery struct {
-	from           string   // name of the member that sent it, to which it isn't returned
+	from           string   // name of the member that sent the entry, to which it isn't sent back
 	toRegion       bool     // to a few members of the local region
 	toOtherRegions bool     // to one member of each other region
 	toZones        []string // to a member of each of these zones, directly and by relay
@@ -52,13 +54,13 @@
 	sendRate   float64 // see rateAt, as of lastSent
 }
 
-// minInterval returns the minimum time between two sendings. It grows with the recent send rate, so that a burst of
+// minInterval returns the minimum time between two sends. It grows with the recent send rate, so that a burst of
 // changes is sent in few messages that contain only the newest entry of each key.
 func (q *sendQueue) minInterval(now time.Time) time.Duration {
 	return min(maxCoalesceDelay, time.Duration(q.rateAt(now)*float64(coalesceDelay)))
 }
 
-// rateAt returns the approximate number of sendings in the last rateWindow, as an exponentially decaying average.
+// rateAt returns approximately the number of sends in the last rateWindow: a count that decays exponentially.
 func (q *sendQueue) rateAt(now time.Time) float64 {
 	return q.sendRate * math.Exp(-float64(now.Sub(q.lastSent))/float64(rateWindow))
 }
@@ -90,15 +92,15 @@
 
 // enqueue schedules the delivery of an entry. If a delivery of the same key is already queued, the two are merged, and
 // the newest entry is sent.
-func (e *Engine) enqueue(now time.Time, entry Entry, from origin) {
+func (e *Engine) enqueue(now time.Time, entry Entry, source origin) {
 	planned := e.queue.schedule(now, entry.Header().id())
-	planned.from = from.from
-	if len(from.relay) > 0 {
-		planned.toZones = appendMissing(planned.toZones, from.relay)
+	planned.from = source.sender
+	if len(source.relay) > 0 {
+		planned.toZones = appendMissing(planned.toZones, source.relay)
 		planned.retries = maxDeliveryRetries
 	}
-	planned.toRegion = planned.toRegion || from.fresh
-	planned.toOtherRegions = planned.toOtherRegions || from.local && !entry.Table.isEphemeral()
+	planned.toRegion = planned.toRegion || source.fresh
+	planned.toOtherRegions = planned.toOtherRegions || source.local && !entry.Table.isEphemeral()
 }
 
 // NextSendTime returns when TakeOutgoing will have something to send, or the zero time if nothing is queued.
@@ -124,8 +126,9 @@
 }
 
 // Retry schedules another delivery of the entries of a message that was not sent or not acknowledged: to a member of
-// the receiver's zone, and by relay through a third zone. The caller also passes the receiver to MarkUnresponsive, so
-// that another member of the zone is selected.
+// the receiver's zone, and by relay through a third zone. It doesn't retry ephemeral entries, and retries others at
+// most maxDeliveryRetries times. The caller also passes the receiver to MarkUnresponsive, so that another member of the
+// zone is selected.
 func (e *Engine) Retry(now time.Time, envelope Envelope) {
 	if envelope.retries >= maxDeliveryRetries {
 		return
--- a/serving/membership/table.go
+++ b/serving/membership/table.go
@@ -30,7 +30,7 @@
 	ringRetention = 5 * time.Second
 	// A watcher extends its suspicion timeouts by its own lateness (see RecordDelay) times localLatenessFactor, at most
 	// by maxTimeoutExtension. A lateness up to latenessThreshold is normal and ignored. Each further sample reduces the
-	// recorded lateness by 1/latenessDecay.
+	// recorded lateness by the fraction 1/latenessDecay.
 	localLatenessFactor = 6
 	maxTimeoutExtension = 3 * time.Second
 	latenessThreshold   = 50 * time.Millisecond
@@ -108,8 +108,8 @@
 	lastLiveAt time.Time
 }
 
-// Change describes a change of a member: a new version, after which the member is live or has left, or its being marked
-// as down.
+// Change describes a change of a member: either a new version of it has arrived, after which it is live or has left, or
+// it was marked as down.
 type Change struct {
 	Member state.Member
 	Live   bool
@@ -287,9 +287,9 @@
 	t.notify(Change{Member: tracked.member, Down: true, Reason: reason})
 }
 
-// RemoveTerminated removes a member that is down or has left, without waiting for the end of its RetentionPeriod. It
+// RemoveDownOrLeft removes a member that is down or has left, without waiting for the end of its RetentionPeriod. It
 // returns false if the member isn't known, is live, or is the local one.
-func (t *Table) RemoveTerminated(name string) bool {
+func (t *Table) RemoveDownOrLeft(name string) bool {
 	tracked, ok := t.members[name]
 	if !ok || tracked.isLive() || name == t.self {
 		return false
