--- a/cluster/lease/holder.go
+++ b/cluster/lease/holder.go
@@ -13,7 +13,7 @@
 	session        cluster.SessionID
 	deadline       api.Micros
 	newestSession  cluster.SessionID // the highest session ever confirmed
-	endedUpTo      cluster.SessionID // the member has ended sessions up to this one: never confirmed again
+	endedUpTo      cluster.SessionID // sessions up to this one, which the member has ended, are never confirmed again
 	renewalCount   uint64
 	voidUpTo       uint64 // renewals up to this one were started before a rejection and are ignored
 	lastRenewalAt  api.Micros
@@ -33,8 +33,9 @@
 // microseconds.
 const clockReadingError = 2
 
-// NewHolder returns a holder without a session. clockDrift is the largest relative difference in rate between a clock
-// and true time, and between two clocks; it is at least 0 and below 1. ttl must be the same as at the raft nodes.
+// NewHolder returns a holder without a session. clockDrift is the largest relative difference between the rate of a
+// clock and that of true time, and between the rates of two clocks; it is at least 0 and below 1. ttl must be the same
+// as at the raft nodes.
 //
 // While a slow clock measures usableTTL, at most usableTTL/(1-clockDrift) of true time passes. A leader with a fast
 // clock may end the session after ttl/(1+clockDrift) of true time. The former must be less, so that the holder stops
--- a/cluster/member/custody/store.go
+++ b/cluster/member/custody/store.go
@@ -1,5 +1,5 @@
 // Package custody persists which member has custody of a webhook, that is, which member is responsible for delivering
-// it. There is one record for each webhook that this member offered to another member or was offered by one. The
+// it. There is one record for each webhook that this member has offered to another member or has been offered. The
 // records are in a journal of their own, apart from the journal of the webhooks. A record is written before the member
 // sends a reply that depends on it, so that each webhook has exactly one custodian even if messages are lost or
 // processes end.
@@ -122,9 +122,9 @@
 	return RecordSnapshot{ID: id, Record: record, Exists: known}
 }
 
-// Update calls change with the table locked, and writes the records that change has modified before it returns. If
-// writing fails, Update restores the records and returns the error. change may only modify the records of the webhooks
-// in ids.
+// Update calls the function change with the table locked. Before Update returns, it writes the records that the
+// function has modified. If writing fails, Update restores the records and returns the error. The function may only
+// modify the records of the webhooks in ids.
 func (s *Store) Update(ids []shardmap.WebhookID, change func(*shardmap.CustodyTable)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cluster/member/forwarding/forwarder.go
+++ b/cluster/member/forwarding/forwarder.go
@@ -162,6 +162,7 @@
 		case reply.Reply == shardmap.CustodyTaken:
 			f.Metrics.Forwarded.Add(1)
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Accepted}
+		// Admission is 0 if the rejection isn't due to the owner's map, such as a rejection by its dispatcher.
 		case reply.Reply == shardmap.CustodyRejected && reply.Admission == 0:
 			return forwardResult{outcome: answeredByOwner, answer: inflight.Rejected, retryAfter: reply.RetryAfter}
 		case reply.Reply == shardmap.CustodyNeverTaken: // the webhook has expired: it is accepted here, and ends here
--- a/cluster/shardmap/commands.go
+++ b/cluster/shardmap/commands.go
@@ -119,8 +119,8 @@
 	return e.command(command{Op: opPlace, Groups: groups})
 }
 
-// SweepMisplaced removes the records of misplaced destinations whose grant has ended without its holder confirming
-// the new placement.
+// SweepMisplaced removes each MisplacedDestination whose Grant is no longer held: the lease has ended before its holder
+// confirmed the new placement.
 func (e Coordinator) SweepMisplaced() cluster.Command {
 	return e.command(command{Op: opSweepMisplaced})
 }
@@ -144,14 +144,14 @@
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
 }
 
-// ClearMove states that a member has no copies of webhooks left that a switched move must account for. The
+// ClearMove states that a member no longer has copies of webhooks for which a switched move has to wait. The
 // coordinator proposes it for a member that never comes back.
 func ClearMove(move MoveID, member cluster.MemberID) cluster.Command {
 	return command{Op: opClearMove, Move: move, Member: member}.encode("", 0)
 }
 
-// ConfirmPlacement states that the owner of a range serves by a map of mapVersion or newer, and that it has no call
-// in flight for a destination that was placed elsewhere up to that version.
+// ConfirmPlacement states that the owner of a range serves by a map of mapVersion or newer, and that it has no call in
+// flight for any destination that the maps up to mapVersion have moved to another range.
 func ConfirmPlacement(id cluster.RangeID, epoch cluster.Epoch, mapVersion cluster.Version) cluster.Command {
 	c := command{Op: opConfirmPlacement, Range: id, Epoch: epoch, MapVersion: mapVersion}
 	return c.encode(cluster.RangeOwnerResource(id), epoch)
--- a/cluster/shardmap/custody_target.go
+++ b/cluster/shardmap/custody_target.go
@@ -8,7 +8,7 @@
 // The answers. The numbers are encoded.
 const (
 	CustodyUnknown    CustodyReply = iota // the member can't be reached, or can't tell yet
-	CustodyTaken                          // it has taken the webhook: it is in custody there, has ended or was handed off
+	CustodyTaken                          // it took the webhook, which is in custody there, has ended or was handed off
 	CustodyNeverTaken                     // it has not taken the webhook, and must never take it by this hand-off
 	CustodyStateLost                      // its data folder was replaced since the offer, so it can't tell
 	CustodyRejected                       // it has not taken the webhook by this attempt, but may by another one
@@ -38,12 +38,12 @@
 	switch {
 	case isKnown && r.Arriving:
 		return CustodyUnknown, OfferNotTaken // storing may fail, and a CustodyTaken could not be revoked
-	case isKnown && handoff == r.Handoff && r.isInDoubt(): // from another branch of a fork, which used this number too
+	case isKnown && handoff == r.Handoff && r.isInDoubt(): // another branch of a CustodyTable.Fork used this number too
 		return CustodyRejected, OfferNotTaken
 	case isKnown && handoff <= r.Handoff:
 		return CustodyTaken, OfferNotTaken
 	case isKnown && r.Present && !r.hasOffer():
-		r.Handoff = handoff // from another branch of a fork: one custodian is enough
+		r.Handoff = handoff // the offer is from another branch (see CustodyTable.Fork): one custodian is enough
 		return CustodyTaken, OfferNotTaken
 	case isKnown && handoff <= r.RejectedUpTo || now >= deadline:
 		return CustodyNeverTaken, OfferNotTaken
@@ -86,7 +86,7 @@
 		return CustodyUnknown, false
 	case handoff < r.Handoff, handoff == r.Handoff && !r.isInDoubt():
 		return CustodyTaken, false
-	case r.Present && !r.isInDoubt(): // another branch of a fork, as in HandleOffer
+	case r.Present && !r.isInDoubt(): // the offer is from another branch, as in HandleOffer
 		r.Handoff = handoff
 		return CustodyTaken, true
 	}
--- a/serving/agent/publisher.go
+++ b/serving/agent/publisher.go
@@ -9,8 +9,8 @@
 	"rowanlink/serving/subscription"
 )
 
-// checkpointsRetained is the number of latest responses whose cursors can be the base of a delta. One would suffice if no
-// response were ever lost.
+// checkpointsRetained is how many checkpoints are kept: a delta can be computed from the cursor of any of the latest
+// checkpointsRetained responses. One would suffice if no response were ever lost.
 const checkpointsRetained = 8
 
 // endpointTable is the part of endpoints.Table that the agent uses.
@@ -47,7 +47,7 @@
 	record         *state.Record // nil: none known yet
 	loads          loadTable
 	proxies        subscription.ProxyCounts
-	synced         bool                            // the data counts as complete
+	synced         bool                            // the agent was synced once: snapshots are complete
 	position       uint64                          // of the newest response
 	checkpoints    [checkpointsRetained]checkpoint // ring, by position
 	changed        chan struct{}                   // closed and replaced at each change of the data
@@ -109,7 +109,7 @@
 	}
 }
 
-// setSynced marks the data as complete.
+// setSynced records that the agent is synced: from now on snapshots are marked as complete.
 func (p *publisher) setSynced() {
 	if !p.synced {
 		p.synced = true
@@ -118,15 +118,16 @@
 }
 
 // updateSince returns the changes since the cursor. It returns a snapshot instead if the cursor has no checkpoint, if the
-// checkpoint is partial and the agent is synced now, or if the table no longer knows the endpoints removed since. It
-// returns false if nothing has changed.
+// checkpoint is partial and the agent is synced now, or if the table can no longer list all endpoints that were removed
+// since the checkpoint. It returns false if nothing has changed.
 func (p *publisher) updateSince(now time.Time, cursor subscription.Cursor) (*subscription.Response, bool) {
 	base, found := p.findCheckpoint(cursor)
 	if !found || base.partial && p.synced {
 		return p.snapshot(now), true
 	}
 	delta := p.endpoints.ChangesSince(now, base.endpointsPosition)
-	// At position 0 the table was empty, so that its complete contents are the delta.
+	// A complete delta lists no removals, so that a snapshot has to be sent instead. None is needed for position 0: the
+	// table was empty then, so that its complete contents are the changes since.
 	if delta.Complete && base.endpointsPosition != 0 {
 		return p.snapshot(now), true
 	}
--- a/serving/endpoints/exchange/replication.go
+++ b/serving/endpoints/exchange/replication.go
@@ -32,19 +32,19 @@
 	}
 	begun := time.Now()
 	x.gossip.Put(entry)
-	notified := x.agents.Start(ctx, entry)
+	notification := x.agents.Start(ctx, entry)
 	if err := x.storeReplicated(ctx, endpoint, entry, targets); err != nil {
 		return err
 	}
 	stored := time.Since(begun)
-	unconfirmed := notified.Wait()
+	unconfirmed := notification.Wait()
 	event.EndpointReplicated.Log(x.log).
 		Str("endpoint", endpoint.ID).
 		Dur("stored_ms", stored).
 		Dur("applied_ms", time.Since(begun)).
-		Int("agents", notified.Awaited()).
+		Int("agents", notification.Awaited()).
 		Int("unconfirmed", unconfirmed).
-		Int("not_awaited", notified.Unawaited()).
+		Int("not_awaited", notification.Unawaited()).
 		Send()
 	return nil
 }
--- a/serving/endpoints/heartbeat.go
+++ b/serving/endpoints/heartbeat.go
@@ -125,8 +125,8 @@
 	return warmupExtended || warmedUp || removalIsEarlier
 }
 
-// isEquivalent reports whether two states of an endpoint differ in nothing that proxies or the member responsible for
-// the endpoint use.
+// isEquivalent reports whether two states of an endpoint are the same to proxies and to the member responsible for the
+// endpoint: all fields that these use are equal.
 func isEquivalent(a, b state.Endpoint) bool {
 	return a.Service == b.Service &&
 		a.Address == b.Address &&
--- a/serving/endpoints/outlier.go
+++ b/serving/endpoints/outlier.go
@@ -16,7 +16,8 @@
 	// may be its own.
 	minReporters = 2
 	// minFailures is the least number of an outlier's failed calls. outlierFactor is the least ratio of that number to the
-	// average of the service's other endpoints: if all of them fail, the cause is elsewhere, such as overload.
+	// average of the service's other endpoints, where an ejected endpoint counts with no failures. If all endpoints fail,
+	// the ratio isn't reached, since the cause is elsewhere, such as overload.
 	minFailures   = 3
 	outlierFactor = 4
 	// maxEjectedShare is the share of a service's endpoints that may be ejected at once, since the others have to take
@@ -80,7 +81,7 @@
 	o.reports[observer] = report
 }
 
-// summarize sums up the reports that were updated within the last reportLifetime, and removes the others.
+// summarize returns the sums of the reports that were updated within the last reportLifetime, and deletes older reports.
 func (o *outlierState) summarize(now time.Time) (summary reportSummary) {
 	for observer, report := range o.reports {
 		if now.Sub(report.at) > reportLifetime {
--- a/serving/member/calls.go
+++ b/serving/member/calls.go
@@ -25,7 +25,8 @@
 	maxPushCalls    = 24  // concurrent pushes
 	maxProbeCalls   = 192 // concurrent probes of unconfirmed members, both direct ones and requests to relays
 
-	// pushRetryDelay is how long a push may have no response before its entries are also sent by another path.
+	// pushRetryDelay is how long a push may have no response before gossip.Engine.Retry schedules another delivery of its
+	// entries.
 	pushRetryDelay = 200 * time.Millisecond
 )
 
@@ -51,7 +52,7 @@
 }
 
 // start starts all calls without waiting for them. A call for which no slot is free is dropped: heartbeats and repairs
-// recur, and the entries of a push are retried by another path.
+// recur, and gossip.Engine.Retry schedules another delivery of a push's entries.
 func (c *caller) start(ctx context.Context, calls pendingCalls) {
 	for _, call := range calls.heartbeats {
 		startIfFree(c.routineSlots, func() { c.sendHeartbeat(ctx, call, (*node).processHeartbeatFailure) })
@@ -164,8 +165,8 @@
 	c.service.markUnresponsive(name)
 }
 
-// sendPush sends a message and then the offered entries that the receiver requests. The entries are retried by
-// another path, once, if there is no response within pushRetryDelay or one of the calls fails.
+// sendPush sends a message and then the offered entries that the receiver requests. If there is no response within
+// pushRetryDelay, or one of the calls fails, gossip.Engine.Retry schedules another delivery of the entries, once.
 func (c *caller) sendPush(ctx context.Context, envelope gossip.Envelope) {
 	retry := func() { c.service.run(func(now time.Time, n *node) { n.engine.Retry(now, envelope) }) }
 	retryTimer := time.AfterFunc(pushRetryDelay, retry)
--- a/serving/member/service.go
+++ b/serving/member/service.go
@@ -41,9 +41,9 @@
 	wake     chan struct{} // signals the timer loop that an action is due before its timer fires
 	done     chan struct{} // closed when the timer loop has ended
 	cancel   context.CancelFunc
-	// persister saves the entries of durable pushes; nil before SetPersister.
+	// persister saves the entries of messages with gossip.Message.Durable set; nil before SetPersister.
 	persister atomic.Pointer[Persister]
-	// applier waits for the entries in gossip.Message.Await; nil before SetApplier.
+	// applier waits until this process has applied the entries listed in gossip.Message.Await; nil before SetApplier.
 	applier atomic.Pointer[Applier]
 }
 
@@ -98,8 +98,8 @@
 	s.actor.Stop()
 }
 
-// run runs a command on the node's goroutine, without waiting for it, and wakes the timer loop if an action is due earlier
-// after that.
+// run runs a command on the node's goroutine, without waiting for it. If an action is then due before the timer fires, it
+// wakes the timer loop.
 func (s *Service) run(command func(now time.Time, n *node)) {
 	s.actor.Send(func(n *node) {
 		command(time.Now(), n)
@@ -133,7 +133,7 @@
 	}
 }
 
-// Put stores an entry and gossips it, without waiting for either.
+// Put stores an entry and gossips it. It doesn't wait until the entry is stored or sent.
 func (s *Service) Put(entry gossip.Entry) {
 	s.run(func(now time.Time, n *node) { n.putLocal(now, entry) })
 }
@@ -229,9 +229,9 @@
 	})
 }
 
-// AcquireRole returns the holder of a singleton role among the live members of a scope, and takes the role for the local
-// member if that is the first candidate. Call AcquireRole before each run of the role's job, and run the job only if
-// Assignment.Local is set.
+// AcquireRole returns the holder of a singleton role among the live members of a scope. It takes the role for the local
+// member if the local member ranks first among the candidates: at once if the holder is no longer a candidate, otherwise
+// after a delay. Call AcquireRole before each run of the role's job, and run the job only if Assignment.Local is set.
 func (s *Service) AcquireRole(role string, scope singleton.Scope) singleton.Assignment {
 	return query(s, func(now time.Time, n *node) singleton.Assignment { return n.acquireRole(now, role, scope) })
 }
@@ -253,7 +253,7 @@
 		entry, _ := n.engine.Get(gossip.TableMembers, n.members.Self().Name)
 		return entry
 	})
-	others := len(s.Members())
+	others := len(s.Members()) // the local member has left and isn't among them
 	if others == 0 {
 		return nil
 	}
--- a/serving/member/tick.go
+++ b/serving/member/tick.go
@@ -65,8 +65,8 @@
 	return calls
 }
 
-// tickMembership runs the failure detector, gossips its new suspicions and withdrawals, and removes the entries of members
-// that went down or left long ago.
+// tickMembership runs the failure detector, gossips the local member's new suspicions and its withdrawals of earlier ones,
+// and removes the entries of members that went down or left long ago.
 func (n *node) tickMembership() {
 	suspicions, removed := n.members.Tick(n.now)
 	for _, suspicion := range suspicions {
@@ -196,7 +196,7 @@
 		n.engine.NextRepairTime(),
 		n.members.NextTimeout(),
 	}
-	if n.schedule.downProbeCount > 1 { // after a response; otherwise the probe may wait for the next regular tick
+	if n.schedule.downProbeCount > 1 { // a down member has responded; otherwise the probe may wait for a regular tick
 		dueTimes = append(dueTimes, n.schedule.downProbe)
 	}
 	for _, due := range dueTimes {
--- a/serving/upstream/pool.go
+++ b/serving/upstream/pool.go
@@ -108,9 +108,9 @@
 	return p.open
 }
 
-// acquire returns an idle connection that can be used. Without one, or if forceNew is set, it returns nil and counts a
-// connection as open, which the caller then establishes. It returns false if that would exceed the limit of the
-// endpoint or of the pool, and no idle connection can be closed instead.
+// acquire returns an idle connection that can be used. If there is none, or if forceNew is set, it returns nil and true:
+// the caller then establishes a connection, which acquire has already counted as open. It returns false if one more
+// would exceed the limit of the endpoint or of the pool, and no idle connection can be closed instead.
 func (p *Pool) acquire(endpointID string, limit int, forceNew bool, now time.Time) (c *connection, hasCapacity bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/serving/upstream/response.go
+++ b/serving/upstream/response.go
@@ -20,16 +20,17 @@
 	Header  http.Header // may be modified by the caller
 	Length  int64       // of the body; -1: unknown
 
-	pool           *Pool
-	call           *Call
-	connection     *connection
-	watchdog       watchdog
-	ctx            context.Context
-	cancel         context.CancelFunc
-	stopCancelHook func() bool // keeps the context's end from closing the connection; false: that has happened already
+	pool       *Pool
+	call       *Call
+	connection *connection
+	watchdog   watchdog
+	ctx        context.Context
+	cancel     context.CancelFunc
+	// stopCancelHook removes the hook that closes the connection when ctx ends. It returns false if the hook has run.
+	stopCancelHook func() bool
 
 	httpResponse   *http.Response
-	bodyWritten    chan error    // receives the result of writeBody; nil: no such goroutine, or its result was received
+	bodyWritten    chan error    // receives writeBody's result; nil: writeBody wasn't started, or its result was received
 	requestWritten bool          // the complete request has been written
 	notReusable    bool          // the connection can't carry another request
 	idleTimeout    time.Duration // of the connection after this response
--- a/test/integration/mutants/endpoints_table_test.go
+++ b/test/integration/mutants/endpoints_table_test.go
@@ -82,7 +82,7 @@
 	{
 		name:    "a departure is acknowledged before the proxies have applied it",
 		file:    "serving/endpoints/exchange/replication.go",
-		old:     "unconfirmed := notified.Wait()",
+		old:     "unconfirmed := notification.Wait()",
 		replace: "unconfirmed := 0",
 		pkg:     "serving/endpoints/exchange", tests: "TestPutReplicated",
 	},
